--- a/hyssopshelf/authority/change.py
+++ b/hyssopshelf/authority/change.py
@@ -156,7 +156,7 @@
         if not await self._record(database, entry):
             return False
         self.coordinator.closed.discard(database)
-        self.coordinator.renew_own_tenures()
+        self.coordinator.renew_own_grants()
         self.coordinator.announce()
         return True
 
@@ -314,7 +314,7 @@
             return None
         _, position, _, target = max(ranked, key=lambda row: row[:3])
         if planned:
-            seen = self.gateway.board.get_log(database).get_last_position()
+            seen = self.gateway.board.get_positions(database).get_last_position()
             if seen is not None and seen.number - position.number > CATCH_UP_START:
                 return None
         return target
@@ -409,7 +409,7 @@
         done = attrs.evolve(entry, term=status.term, promoting=False)
         self.local.assignments = self.local.assignments.replace(database, done)
         self.coordinator.closed.discard(database)
-        self.coordinator.renew_own_tenures()
+        self.coordinator.renew_own_grants()
         self.coordinator.announce()
         logs.write(
             logs.LogEvent.PRIMARY_PROMOTED,
@@ -441,7 +441,7 @@
     async def _demote(self, endpoint, term: int) -> None:
         wire = self.gateway.endpoint_wire
         try:
-            await probes.ask(
+            await probes.send_unqueued(
                 self.gateway, endpoint, wire.format_demote(term), STATUS_SECONDS
             )
         except links.LinkError as error:
@@ -464,7 +464,7 @@
     async def _ask_status(self, endpoint) -> Status | None:
         wire = self.gateway.endpoint_wire
         try:
-            reply = await probes.ask(
+            reply = await probes.send_unqueued(
                 self.gateway, endpoint, wire.format_status(), STATUS_SECONDS
             )
         except links.LinkError as error:
--- a/hyssopshelf/authority/coordinator.py
+++ b/hyssopshelf/authority/coordinator.py
@@ -103,7 +103,7 @@
             self.ledger.record_grant(known, now)
         self._answer(ping, host, address, now, grant=grant)
 
-    def renew_own_tenures(self) -> None:
+    def renew_own_grants(self) -> None:
         """Use the assignments at this node while it has authority."""
         now = clocks.read_clock()
         authority = self.has_authority(now)
@@ -126,7 +126,7 @@
             return
         until = self.ledger.find_authority_end()
         self.local.answered_at = now
-        self.local.apply_tenures(until, tuple(self.closed))
+        self.local.apply_grants(until, tuple(self.closed))
         found = self._collect_observations(now)
         member.merge_observations(self.local.gateway.board, found, now)
 
--- a/hyssopshelf/authority/member.py
+++ b/hyssopshelf/authority/member.py
@@ -7,7 +7,7 @@
 
 from hyssopshelf import clocks, logs
 from hyssopshelf.authority import assignments, exchange, shares, timing
-from hyssopshelf.gateway import boards, statements
+from hyssopshelf.gateway import blackboard, statements
 
 MAXIMUM_OBSERVATION_AGE_SECONDS = 1.0
 """Age above which an observation of a primary's log is not worth reporting."""
@@ -53,7 +53,7 @@
     identity : MemberRecord
         This node.
     gateway : Gateway
-        Whose board receives the tenures.
+        Whose board receives the primary grants.
     documents : Documents
         Newest documents; shared with the coordinator.
     apply_document : callable
@@ -196,7 +196,7 @@
                 },
             )
         self.answered_at = now
-        self.apply_tenures(sent_at + timing.GRANT_SECONDS, pong.released)
+        self.apply_grants(sent_at + timing.GRANT_SECONDS, pong.released)
         merge_observations(self.gateway.board, pong.observations, sent_at)
         if pong.shares is not None:
             self.gateway.apply_shares(pong.shares)
@@ -250,12 +250,12 @@
             held.registry_read_at = read_at
             self.apply_document("registry", zlib.decompress(pong.registry))
 
-    def apply_tenures(self, valid_until: float, closed: tuple[str, ...]) -> None:
+    def apply_grants(self, valid_until: float, closed: tuple[str, ...]) -> None:
         """Renew the beliefs in all primaries that may be used."""
         board = self.gateway.board
         changed = False
         for database, entry in self.assignments.databases.items():
-            before = board.tenures.get(database)
+            before = board.primary_grants.get(database)
             usable = (
                 not entry.promoting
                 and database not in closed
@@ -265,25 +265,25 @@
                 continue
             if before is not None and before.version > entry.version:
                 continue
-            board.tenures[database] = boards.Tenure(
+            board.primary_grants[database] = blackboard.PrimaryGrant(
                 endpoint=entry.endpoint,
                 term=entry.term,
                 version=entry.version,
                 valid_until=valid_until,
             )
             if before is None or before.version != entry.version:
-                self._start_tenure(database, entry)
+                self._adopt_primary(database, entry)
                 changed = True
             elif before.valid_until < clocks.read_clock():
                 changed = True
         if changed:
             self.gateway.notify()
 
-    def _start_tenure(self, database: str, entry) -> None:
+    def _adopt_primary(self, database: str, entry) -> None:
         board = self.gateway.board
-        board.get_log(database).start_term(entry.term)
-        board.closing.discard(database)
-        self.gateway.supersede(database)
+        board.get_positions(database).start_term(entry.term)
+        board.releasing.discard(database)
+        self.gateway.cancel_waiting(database)
         logs.write(
             logs.LogEvent.PRIMARY_FOLLOWED,
             {
@@ -299,20 +299,20 @@
         """Stop using a primary; return when nothing is acknowledged from it."""
         board = self.gateway.board
         self.released[database] = max(version, self.released.get(database, 0))
-        tenure = board.tenures.get(database)
-        if tenure is None or tenure.version > version:
+        grant = board.primary_grants.get(database)
+        if grant is None or grant.version > version:
             return
-        board.closing.add(database)
+        board.releasing.add(database)
         deadline = clocks.read_clock() + finish
         while self.gateway.has_open_writes(database, version):
             if clocks.read_clock() >= deadline:
                 break
             await asyncio.sleep(RELEASE_CHECK_SECONDS)
-        tenure = board.tenures.get(database)
-        if tenure is not None and tenure.version <= version:
-            del board.tenures[database]
-            self.gateway.supersede(database)
-        board.closing.discard(database)
+        grant = board.primary_grants.get(database)
+        if grant is not None and grant.version <= version:
+            del board.primary_grants[database]
+            self.gateway.cancel_waiting(database)
+        board.releasing.discard(database)
         logs.write(
             logs.LogEvent.PRIMARY_RELEASED, {"database": database, "version": version}
         )
@@ -331,13 +331,13 @@
     Each is a tuple of assignment version, term, number and age in seconds.
     """
     found = {}
-    for database, tenure in board.tenures.items():
-        own = board.get_log(database).own
+    for database, grant in board.primary_grants.items():
+        own = board.get_positions(database).latest_own
         if own is None or now - own[0] > MAXIMUM_OBSERVATION_AGE_SECONDS:
             continue
         sent_at, position = own
         found[database] = (
-            tenure.version,
+            grant.version,
             position.term,
             position.number,
             round(now - sent_at, 4),
@@ -352,11 +352,11 @@
     the ping that they answer was sent.
     """
     for database, (version, term, number, age) in observations.items():
-        tenure = board.tenures.get(database)
-        if tenure is None or tenure.version != version:
+        grant = board.primary_grants.get(database)
+        if grant is None or grant.version != version:
             continue
         position = statements.LogPosition(term, number)
-        board.get_log(database).observe(position, sent_at - age - ROUNDING_SECONDS)
+        board.get_positions(database).add(position, sent_at - age - ROUNDING_SECONDS)
 
 
 def collect_reach(board, now: float) -> dict[str, exchange.Reach]:
--- a/hyssopshelf/authority/participant.py
+++ b/hyssopshelf/authority/participant.py
@@ -313,12 +313,12 @@
         # The first answers name the holders, so that nobody connects without need.
         leading.divide_connections()
         leading.announce()
-        leading.renew_own_tenures()
+        leading.renew_own_grants()
         listed_at = clocks.read_clock()
         while leading.active:
             await asyncio.sleep(timing.PING_SECONDS / 2)
             leading.ledger.update_majority(clocks.read_clock())
-            leading.renew_own_tenures()
+            leading.renew_own_grants()
             leading.divide_connections()
             if leading.members_changed:
                 leading.publish_members()
--- a/hyssopshelf/authority/tests/test_participant.py
+++ b/hyssopshelf/authority/tests/test_participant.py
@@ -7,7 +7,7 @@
 
 from hyssopshelf import clocks, platform
 from hyssopshelf.authority import assignments, election, member, participant, timing
-from hyssopshelf.gateway import boards, gateway
+from hyssopshelf.gateway import blackboard, gateway
 
 
 @attrs.define(kw_only=True)
@@ -43,7 +43,7 @@
 
 
 def make_participant(store, capacity: float) -> participant.Participant:
-    board = boards.Board(place="a", region="r", regions={"a": "r"})
+    board = blackboard.GatewayBlackboard(place="a", region="r", regions={"a": "r"})
     return participant.Participant(
         identity=assignments.MemberRecord(host="h", address="h:1", incarnation=5),
         gateway=gateway.Gateway(board=board, endpoint_wire=None),
@@ -109,7 +109,7 @@
             def announce(self):
                 done.append("announced")
 
-            def renew_own_tenures(self):
+            def renew_own_grants(self):
                 done.append("renewed")
 
         await node._serve(Leading())
--- a/hyssopshelf/authority/tests/test_rules.py
+++ b/hyssopshelf/authority/tests/test_rules.py
@@ -19,7 +19,7 @@
     suspicion,
     timing,
 )
-from hyssopshelf.gateway import boards, catalog, gateway
+from hyssopshelf.gateway import blackboard, catalog, gateway
 
 NOW = 50.0
 
@@ -252,7 +252,7 @@
     failing = {"p": make_reach(3.0)}
     leading = make_coordinator([], 8)
     leading.local.gateway = types.SimpleNamespace(
-        board=boards.Board(place="a", region="r", regions={})
+        board=blackboard.GatewayBlackboard(place="a", region="r", regions={})
     )
     for state in leading.ledger.members.values():
         state.reach = failing
@@ -282,10 +282,11 @@
     """Each other choice would leave connections that count against the limit."""
     leading = make_coordinator([], 0)
     serving = gateway.Gateway(
-        board=boards.Board(place="p0", region="r", regions={}), endpoint_wire=None
+        board=blackboard.GatewayBlackboard(place="p0", region="r", regions={}),
+        endpoint_wire=None,
     )
     serving.board.endpoints = {f"e{n}": make_endpoint(n) for n in range(3)}
-    serving.board.configuration = catalog.Catalog(
+    serving.board.configuration = catalog.Configuration(
         version=1, routes={}, connections={"db": 46}, limits=catalog.Limits()
     )
     leading.local = types.SimpleNamespace(
--- a/hyssopshelf/gateway/boards.py
+++ b/hyssopshelf/gateway/blackboard.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Tenure:
+class PrimaryGrant:
     """The belief that an endpoint is the primary of its database.
 
     Attributes
@@ -43,14 +43,14 @@
         Time of the last answer.
     error_share : float
         Moving share of statements that ran and failed or broke.
-    judged_at : float
+    error_share_at : float
         Time of the last such statement.
-    held : LogPosition or None
+    lag_position : LogPosition or None
         Position of its log when it last refused a read because it lags.
     refusals : int
         Such refusals in a row.
     lags_until : float
-        Time up to which reads that need more than ``held`` go elsewhere.
+        Time up to which reads that need more than ``lag_position`` go elsewhere.
     """
 
     failures: int = 0
@@ -59,14 +59,14 @@
     latency: float = 0.0
     answered_at: float = float("-inf")
     error_share: float = 0.0
-    judged_at: float = 0.0
-    held: statements.LogPosition | None = None
+    error_share_at: float = 0.0
+    lag_position: statements.LogPosition | None = None
     refusals: int = 0
     lags_until: float = 0.0
 
 
 @attrs.define(kw_only=True)
-class Board:
+class GatewayBlackboard:
     """State of one gateway.
 
     Attributes
@@ -75,37 +75,37 @@
         Where this host stands.
     regions : dict of str to str
         Region of each place.
-    configuration : Catalog or None
+    configuration : Configuration or None
         Configuration in force.
     endpoints : dict of str to Endpoint
         Registered endpoints by id.
-    tenures : dict of str to Tenure
+    primary_grants : dict of str to PrimaryGrant
         Believed primaries by database.
-    logs : dict of str to PrimaryLog
+    primary_positions : dict of str to PrimaryPositions
         Observed positions by database.
     health : dict of str to EndpointHealth
         Judgement of endpoints by id.
     isolated : bool
         Whether this node reaches no coordinator, so it cannot learn of a primary.
-    closing : set of str
+    releasing : set of str
         Databases whose primary takes no new work because it is being replaced.
     """
 
     place: str
     region: str
     regions: dict[str, str]
-    configuration: catalog.Catalog | None = None
+    configuration: catalog.Configuration | None = None
     endpoints: dict[str, catalog.Endpoint] = attrs.field(factory=dict)
-    tenures: dict[str, Tenure] = attrs.field(factory=dict)
-    logs: dict[str, freshness.PrimaryLog] = attrs.field(factory=dict)
+    primary_grants: dict[str, PrimaryGrant] = attrs.field(factory=dict)
+    primary_positions: dict[str, freshness.PrimaryPositions] = attrs.field(factory=dict)
     health: dict[str, EndpointHealth] = attrs.field(factory=dict)
-    closing: set[str] = attrs.field(factory=set)
+    releasing: set[str] = attrs.field(factory=set)
     draining: bool = False
     isolated: bool = False
 
-    def get_log(self, database: str) -> freshness.PrimaryLog:
+    def get_positions(self, database: str) -> freshness.PrimaryPositions:
         """Return the observations of a database."""
-        return self.logs.setdefault(database, freshness.PrimaryLog())
+        return self.primary_positions.setdefault(database, freshness.PrimaryPositions())
 
     def get_health(self, endpoint: str) -> EndpointHealth:
         """Return the judgement of an endpoint."""
@@ -113,7 +113,7 @@
 
     def find_primary(self, database: str, now: float) -> catalog.Endpoint | None:
         """Return the primary if the belief in it is valid."""
-        tenure = self.tenures.get(database)
-        if tenure is None or tenure.valid_until <= now or database in self.closing:
+        grant = self.primary_grants.get(database)
+        if grant is None or grant.valid_until <= now or database in self.releasing:
             return None
-        return self.endpoints.get(tenure.endpoint)
+        return self.endpoints.get(grant.endpoint)
--- a/hyssopshelf/gateway/catalog.py
+++ b/hyssopshelf/gateway/catalog.py
@@ -4,7 +4,7 @@
 
 from hyssopshelf.configuration import resources, views
 
-PARTNER = "shared"
+DEFAULT_PARTNER = "shared"
 """Partner of all work while the operator declares no partners."""
 
 QUEUE_LIMIT = 64
@@ -69,7 +69,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Catalog:
+class Configuration:
     """One version of the operator's configuration."""
 
     version: int
@@ -121,8 +121,8 @@
             for rank in ranks
         },
         kinds={},
-        capacity={PARTNER: 1.0},
-        bill={PARTNER: 1.0},
+        capacity={DEFAULT_PARTNER: 1.0},
+        bill={DEFAULT_PARTNER: 1.0},
     )
 
 
--- a/hyssopshelf/gateway/judgement.py
+++ b/hyssopshelf/gateway/endpoint_health.py
@@ -84,7 +84,7 @@
     sample = 1.0 if failed else 0.0
     share = find_error_share(health, now)
     health.error_share = share + ERROR_SMOOTHING * (sample - share)
-    health.judged_at = now
+    health.error_share_at = now
 
 
 def find_error_share(health, now: float) -> float:
@@ -92,7 +92,7 @@
 
     Reads leave an endpoint that fails, so only time can show that it is well.
     """
-    age = max(0.0, now - health.judged_at)
+    age = max(0.0, now - health.error_share_at)
     return health.error_share * 0.5 ** (age / ERROR_HALF_LIFE_SECONDS)
 
 
@@ -101,9 +101,9 @@
     return find_error_share(health, now) * ERROR_PENALTY_SECONDS
 
 
-def record_lag(health, held, now: float) -> None:
+def record_lag(health, lag_position, now: float) -> None:
     """Note that a replica refused a read because its log ends at a position."""
-    health.held = held
+    health.lag_position = lag_position
     health.refusals += 1
     pause = FIRST_LAG_SECONDS * 2 ** min(health.refusals - 1, 6)
     health.lags_until = now + min(LONGEST_LAG_SECONDS, pause)
@@ -117,4 +117,4 @@
 
 def is_lagging(health, position, now: float) -> bool:
     """Return whether a replica is known not to hold a position yet."""
-    return health.lags_until > now and position > health.held
+    return health.lags_until > now and position > health.lag_position
--- a/hyssopshelf/gateway/execution.py
+++ b/hyssopshelf/gateway/execution.py
@@ -5,8 +5,8 @@
 from hyssopshelf import clocks, exceptions
 from hyssopshelf.gateway import (
     catalog,
+    endpoint_health,
     gates,
-    judgement,
     links,
     routing,
     searches,
@@ -99,9 +99,9 @@
         return
     health = gateway.board.get_health(entered.candidate.endpoint.id)
     if reply.error is None:
-        judgement.end_lag(health)
+        endpoint_health.end_lag(health)
     elif reply.error is _KIND.BEHIND and reply.position is not None:
-        judgement.record_lag(health, reply.position, clocks.read_clock())
+        endpoint_health.record_lag(health, reply.position, clocks.read_clock())
 
 
 def describe_error(reply: statements.Reply, position) -> str:
@@ -118,11 +118,11 @@
 
 def can_acknowledge(gateway, database: str, version: int) -> bool:
     """Return whether no other primary can have been promoted up to now."""
-    tenure = gateway.board.tenures.get(database)
+    grant = gateway.board.primary_grants.get(database)
     return (
-        tenure is not None
-        and tenure.version == version
-        and tenure.valid_until > clocks.read_clock()
+        grant is not None
+        and grant.version == version
+        and grant.valid_until > clocks.read_clock()
     )
 
 
@@ -157,7 +157,7 @@
         version = 0
         start_at = now
         if candidate is not None and candidate.primary:
-            version = gateway.board.tenures[route.database].version
+            version = gateway.board.primary_grants[route.database].version
             start_at = search.find_start(version, now)
         if candidate is None or start_at > now:
             if search.excluded or gateway.board.isolated:
@@ -194,7 +194,7 @@
         turn = await gateway.enter_gate(
             gate, route.rank, deadline, session.state, version=version
         )
-    except gates.SupersededError:
+    except gates.PrimaryChangedError:
         trail.add(endpoint.id, "replaced as the primary")
         return None
     except gates.RefusalError as refusal:
@@ -210,7 +210,7 @@
         trail.add(endpoint.id, f"unreachable ({error.reason})")
         if not full:
             health = gateway.board.get_health(endpoint.id)
-            judgement.record_failure(health, now, ended)
+            endpoint_health.record_failure(health, now, ended)
         return fail(_KIND.UNAVAILABLE, error.reason)
     trail.queued += clocks.read_clock() - now
     entered = Entered(gate=gate, turn=turn, candidate=candidate, version=version)
@@ -268,29 +268,29 @@
     except links.LinkError as error:
         now = clocks.read_clock()
         if link.direct:
-            judgement.record_failure(health, sent_at, now)
+            endpoint_health.record_failure(health, sent_at, now)
         if error.sent and error.witnessed:
-            judgement.record_outcome(health, True, now)
+            endpoint_health.record_outcome(health, True, now)
         raise
     now = clocks.read_clock()
-    judgement.record_answer(health, now - sent_at, now)
-    judgement.record_outcome(health, reply.error is _KIND.FAILED, now)
+    endpoint_health.record_answer(health, now - sent_at, now)
+    endpoint_health.record_outcome(health, reply.error is _KIND.FAILED, now)
     return reply
 
 
 def observe(gateway, gate, version: int, reply, sent_at: float) -> None:
     """Use the position in an answer of the primary."""
     database = gate.endpoint.database
-    tenure = gateway.board.tenures.get(database)
+    grant = gateway.board.primary_grants.get(database)
     if (
-        tenure is None
-        or tenure.version != version
-        or tenure.endpoint != gate.endpoint.id
-        or tenure.valid_until <= sent_at
+        grant is None
+        or grant.version != version
+        or grant.endpoint != gate.endpoint.id
+        or grant.valid_until <= sent_at
         or reply.position is None
     ):
         return
-    gateway.board.get_log(database).observe_own(reply.position, sent_at)
+    gateway.board.get_positions(database).add_own(reply.position, sent_at)
 
 
 def make_message(session, request, position):
--- a/hyssopshelf/gateway/forwarding.py
+++ b/hyssopshelf/gateway/forwarding.py
@@ -423,7 +423,7 @@
         except BaseException as error:
             if link is not None:
                 gate.discard_link(link)
-            if isinstance(error, gates.SupersededError):
+            if isinstance(error, gates.PrimaryChangedError):
                 raise links.LinkError(NOT_LEADING, sent=False) from error
             if isinstance(error, links.LinkError):
                 raise links.LinkError(error.reason, sent=False) from error
@@ -471,10 +471,10 @@
     def _leads(self, message: Forward) -> bool:
         """Return whether the endpoint leads under the version that work needs."""
         board = self.gateway.board
-        tenure = board.tenures.get(message.database)
+        grant = board.primary_grants.get(message.database)
         return (
-            tenure is not None
-            and tenure.version == message.version
-            and tenure.endpoint == message.endpoint
-            and tenure.valid_until > clocks.read_clock()
+            grant is not None
+            and grant.version == message.version
+            and grant.endpoint == message.endpoint
+            and grant.valid_until > clocks.read_clock()
         )
--- a/hyssopshelf/gateway/freshness.py
+++ b/hyssopshelf/gateway/freshness.py
@@ -21,7 +21,7 @@
 
 
 @attrs.define(kw_only=True)
-class PrimaryLog:
+class PrimaryPositions:
     """Observations of one database's log in the term of one primary.
 
     Attributes
@@ -31,29 +31,29 @@
     first : LogPosition or None
         First position seen in the term. It contains all that the term took
         over, so it stands for positions of earlier terms.
-    own : (float, LogPosition) or None
+    latest_own : (float, LogPosition) or None
         Newest observation that this node made itself.
     """
 
     term: int = 0
     first: statements.LogPosition | None = None
     observations: collections.deque = attrs.field(factory=collections.deque)
-    own: tuple[float, statements.LogPosition] | None = None
+    latest_own: tuple[float, statements.LogPosition] | None = None
 
     def start_term(self, term: int) -> None:
         """Forget the observations of earlier terms."""
         self.term = term
         self.first = None
-        self.own = None
+        self.latest_own = None
         self.observations.clear()
 
-    def observe_own(self, position: statements.LogPosition, sent_at: float) -> None:
+    def add_own(self, position: statements.LogPosition, sent_at: float) -> None:
         """Add an observation of this node, which it reports to others."""
-        self.observe(position, sent_at)
-        if self.own is None or sent_at > self.own[0]:
-            self.own = (sent_at, position)
+        self.add(position, sent_at)
+        if self.latest_own is None or sent_at > self.latest_own[0]:
+            self.latest_own = (sent_at, position)
 
-    def observe(self, position: statements.LogPosition, sent_at: float) -> None:
+    def add(self, position: statements.LogPosition, sent_at: float) -> None:
         """Add that the primary held a position after a message sent at a time."""
         if self.first is None or position < self.first:
             self.first = position
--- a/hyssopshelf/gateway/gates.py
+++ b/hyssopshelf/gateway/gates.py
@@ -44,7 +44,7 @@
         self.reason = reason
 
 
-class SupersededError(Exception):
+class PrimaryChangedError(Exception):
     """The work waits no more because its endpoint is replaced as the primary."""
 
 
@@ -122,7 +122,7 @@
         now = clocks.read_clock()
         item = work.Work(
             id=str(next(_ids)),
-            partner=catalog.PARTNER,
+            partner=catalog.DEFAULT_PARTNER,
             rank=catalog.name_rank(rank),
             deadline=deadline,
             enqueued_at=now,
--- a/hyssopshelf/gateway/gateway.py
+++ b/hyssopshelf/gateway/gateway.py
@@ -4,7 +4,7 @@
 import contextlib
 
 from hyssopshelf import clocks, logs
-from hyssopshelf.gateway import boards, catalog, forwarding, gates, hedging, meters
+from hyssopshelf.gateway import blackboard, catalog, forwarding, gates, hedging, metrics
 
 FIRST_SHARE = 1
 """Connections that a node opens to an endpoint before it knows its share."""
@@ -21,16 +21,16 @@
 
     Parameters
     ----------
-    board : Board
+    board : GatewayBlackboard
         State that controllers share.
     endpoint_wire : object
         Codec of the endpoints' protocol.
     """
 
-    def __init__(self, *, board: boards.Board, endpoint_wire) -> None:
+    def __init__(self, *, board: blackboard.GatewayBlackboard, endpoint_wire) -> None:
         self.board = board
         self.endpoint_wire = endpoint_wire
-        self.meters = meters.Meters()
+        self.metrics = metrics.Metrics()
         self.hedges = hedging.HedgeBudget()
         self.gates: dict[str, gates.Gate] = {}
         self.shares: dict[str, int] = {}
@@ -64,7 +64,7 @@
             self.gates[endpoint.id] = gate
         return gate
 
-    def apply_catalog(self, new: catalog.Catalog) -> bool:
+    def apply_configuration(self, new: catalog.Configuration) -> bool:
         """Put a configuration in force unless it is older; return whether it was."""
         current = self.board.configuration
         if current is not None and new.version <= current.version:
@@ -142,7 +142,7 @@
 
         Raises
         ------
-        SupersededError
+        PrimaryChangedError
             If another endpoint becomes the primary first.
         RefusalError, LinkError
             As :meth:`gates.Gate.enter`.
@@ -158,9 +158,9 @@
                 finally:
                     waiting.discard(scope)
         except TimeoutError as error:
-            raise gates.SupersededError from error
+            raise gates.PrimaryChangedError from error
 
-    def supersede(self, database: str) -> None:
+    def cancel_waiting(self, database: str) -> None:
         """Send work that waits for a primary back to the search for an endpoint."""
         now = asyncio.get_running_loop().time()
         for scope in self._waiting.pop(database, set()):
--- a/hyssopshelf/gateway/meters.py
+++ b/hyssopshelf/gateway/metrics.py
@@ -21,7 +21,7 @@
         self.total_seconds += seconds
 
 
-class Meters:
+class Metrics:
     """What a gateway counts.
 
     Attributes
@@ -59,17 +59,17 @@
         for labels, value in samples:
             metric.set(labels, value)
 
-    meters = gateway.meters
+    metrics = gateway.metrics
     add(
         "requests_total",
         "Answered requests by rank and outcome",
         [
             ({"rank": str(rank), "outcome": outcome}, count)
-            for (rank, outcome), count in meters.outcomes.items()
+            for (rank, outcome), count in metrics.outcomes.items()
         ],
     )
-    _add_histograms(add, "request_seconds", "Time to the answer", meters.latencies)
-    _add_histograms(add, "queue_seconds", "Time in queues", meters.queued)
+    _add_histograms(add, "request_seconds", "Time to the answer", metrics.latencies)
+    _add_histograms(add, "queue_seconds", "Time in queues", metrics.queued)
     gates = list(gateway.gates.items())
     for name, text, read in (
         ("handshakes_total", "Connections opened", lambda g: g.handshakes),
--- a/hyssopshelf/gateway/probes.py
+++ b/hyssopshelf/gateway/probes.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from hyssopshelf import clocks, logs
-from hyssopshelf.gateway import execution, judgement, links
+from hyssopshelf.gateway import endpoint_health, execution, links
 
 INTERVAL_SECONDS = 0.1
 """Time between two rounds."""
@@ -43,11 +43,14 @@
         board = self.gateway.board
         now = clocks.read_clock()
         due = set()
-        for database, tenure in board.tenures.items():
-            if tenure.valid_until <= now:
+        for database, grant in board.primary_grants.items():
+            if grant.valid_until <= now:
                 continue
-            if board.get_log(database).get_last_time() < now - OBSERVATION_SECONDS:
-                due.add(tenure.endpoint)
+            if (
+                board.get_positions(database).get_last_time()
+                < now - OBSERVATION_SECONDS
+            ):
+                due.add(grant.endpoint)
         for endpoint_id, health in board.health.items():
             last = self._probed_at.get(endpoint_id, 0.0)
             if health.failures and now - last >= FAILING_INTERVAL_SECONDS:
@@ -65,13 +68,13 @@
     async def _probe(self, endpoint) -> None:
         gateway = self.gateway
         health = gateway.board.get_health(endpoint.id)
-        tenure = gateway.board.tenures.get(endpoint.database)
+        grant = gateway.board.primary_grants.get(endpoint.database)
         sent_at = clocks.read_clock()
         try:
-            reply = await ask(gateway, endpoint, None, PROBE_SECONDS)
+            reply = await send_unqueued(gateway, endpoint, None, PROBE_SECONDS)
         except links.LinkError as error:
             if error.reason != execution.FULL_REASON:
-                judgement.record_failure(health, sent_at, clocks.read_clock())
+                endpoint_health.record_failure(health, sent_at, clocks.read_clock())
                 logs.write_request(
                     logs.LogEvent.PROBE_FAILED,
                     {
@@ -83,13 +86,13 @@
             return
         finally:
             self._probing.discard(endpoint.id)
-        judgement.record_contact(health, clocks.read_clock())
-        if tenure is not None and tenure.endpoint == endpoint.id:
+        endpoint_health.record_contact(health, clocks.read_clock())
+        if grant is not None and grant.endpoint == endpoint.id:
             gate = gateway.get_local_gate(endpoint)
-            execution.observe(gateway, gate, tenure.version, reply, sent_at)
+            execution.observe(gateway, gate, grant.version, reply, sent_at)
 
 
-async def ask(gateway, endpoint, message: bytes | None, seconds: float):
+async def send_unqueued(gateway, endpoint, message: bytes | None, seconds: float):
     """Send one message outside the queue; return its reply.
 
     Parameters
--- a/hyssopshelf/gateway/routing.py
+++ b/hyssopshelf/gateway/routing.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from hyssopshelf.gateway import catalog, judgement, statements
+from hyssopshelf.gateway import catalog, endpoint_health, statements
 
 SAME_PLACE_SECONDS = 0.004
 SAME_REGION_SECONDS = 0.006
@@ -55,7 +55,7 @@
     known : bool
         False if no position is known to be recent enough.
     """
-    log = board.get_log(route.database)
+    log = board.get_positions(route.database)
     oldest = now - route.staleness_seconds + BOUND_MARGIN_SECONDS
     position, _ = log.find_bound(oldest)
     if position is None:
@@ -97,7 +97,7 @@
                 for endpoint in board.endpoints.values()
                 if endpoint.database == route.database
                 and endpoint != primary
-                and not judgement.is_lagging(
+                and not endpoint_health.is_lagging(
                     board.get_health(endpoint.id), position, now
                 )
             ]
@@ -119,7 +119,7 @@
         seconds = SAME_REGION_SECONDS if same_region else OTHER_REGION_SECONDS
     seconds += load(endpoint.id)
     if health is not None:
-        seconds += judgement.find_error_cost(health, now)
+        seconds += endpoint_health.find_error_cost(health, now)
     if not same_region:
         seconds += REGION_PENALTY_SECONDS
     if candidate.primary:
--- a/hyssopshelf/gateway/server.py
+++ b/hyssopshelf/gateway/server.py
@@ -235,7 +235,7 @@
     def _log(self, request, reply, session, seconds: float) -> None:
         trail = session.trail
         route = session.find_route()
-        self.server.gateway.meters.record(
+        self.server.gateway.metrics.record(
             route.rank if route is not None else UNKNOWN_RANK,
             reply.error.value if reply.error else "done",
             seconds,
--- a/hyssopshelf/gateway/sessions.py
+++ b/hyssopshelf/gateway/sessions.py
@@ -171,7 +171,7 @@
     session.finish()
     if transaction.wrote:
         return execution.acknowledge_write(
-            session, transaction.gate.endpoint, transaction.tenure_version, reply
+            session, transaction.gate.endpoint, transaction.grant_version, reply
         )
     return reply
 
--- a/hyssopshelf/gateway/tests/test_freshness.py
+++ b/hyssopshelf/gateway/tests/test_freshness.py
@@ -9,28 +9,28 @@
 
 
 def test_a_bound_covers_all_commits_before_its_time():
-    log = freshness.PrimaryLog()
+    log = freshness.PrimaryPositions()
     log.start_term(1)
-    log.observe(POSITION(1, 10), 1.0)
-    log.observe(POSITION(1, 20), 2.0)
-    log.observe(POSITION(1, 30), 3.0)
+    log.add(POSITION(1, 10), 1.0)
+    log.add(POSITION(1, 20), 2.0)
+    log.add(POSITION(1, 30), 3.0)
     assert log.find_bound(1.5) == (POSITION(1, 20), 2.0)
     assert log.find_bound(2.0) == (POSITION(1, 20), 2.0)
 
 
 def test_no_observation_is_recent_enough():
-    log = freshness.PrimaryLog()
-    log.observe(POSITION(1, 10), 1.0)
+    log = freshness.PrimaryPositions()
+    log.add(POSITION(1, 10), 1.0)
     assert log.find_bound(1.1) == (None, 0.0)
 
 
 def test_positions_of_an_earlier_term_are_translated():
     """A position that a change of primary discarded is in no log any more."""
-    log = freshness.PrimaryLog()
+    log = freshness.PrimaryPositions()
     log.start_term(2)
     assert log.translate(POSITION(1, 99)) is None
-    log.observe(POSITION(1, 90), 1.0)
-    log.observe(POSITION(2, 91), 2.0)
+    log.add(POSITION(1, 90), 1.0)
+    log.add(POSITION(2, 91), 2.0)
     assert log.translate(POSITION(1, 99)) == POSITION(1, 90)
     assert log.translate(POSITION(2, 95)) == POSITION(2, 95)
 
@@ -51,7 +51,7 @@
 
     The log grows with time; observations arrive in any order of their sending.
     """
-    log = freshness.PrimaryLog()
+    log = freshness.PrimaryPositions()
     truth = []
     time = 0.0
     number = 0
@@ -59,7 +59,7 @@
         time += pause
         number += growth
         truth.append((time, number))
-        log.observe(POSITION(1, number), time)
+        log.add(POSITION(1, number), time)
     position, sent_at = log.find_bound(oldest)
     if position is None:
         return
--- a/hyssopshelf/gateway/tests/test_isolation.py
+++ b/hyssopshelf/gateway/tests/test_isolation.py
@@ -5,7 +5,7 @@
 from hyssopshelf import clocks
 from hyssopshelf.authority import timing
 from hyssopshelf.gateway import (
-    boards,
+    blackboard,
     catalog,
     execution,
     gateway,
@@ -30,9 +30,9 @@
 
 def test_a_request_is_refused_at_once_without_hope_for_a_primary():
     async def scenario():
-        board = boards.Board(place="a", region="r", regions={"a": "r"})
+        board = blackboard.GatewayBlackboard(place="a", region="r", regions={"a": "r"})
         board.isolated = True
-        board.configuration = catalog.Catalog(
+        board.configuration = catalog.Configuration(
             version=1,
             routes={
                 "db": catalog.Route(
--- a/hyssopshelf/gateway/tests/test_memory.py
+++ b/hyssopshelf/gateway/tests/test_memory.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hyssopshelf.gateway import boards, gateway, memory, server
+from hyssopshelf.gateway import blackboard, gateway, memory, server
 
 LIMIT_BYTES = 40 * 1024 * 1024
 """Limit on the smallest known host, which has 200 MB."""
@@ -70,7 +70,7 @@
     """Each client is within its own bound; all of them are not."""
 
     async def scenario():
-        board = boards.Board(place="a", region="r", regions={"a": "r"})
+        board = blackboard.GatewayBlackboard(place="a", region="r", regions={"a": "r"})
         listener = server.ClientServer(
             gateway=gateway.Gateway(board=board, endpoint_wire=None),
             wire=FakeWire(),
--- a/hyssopshelf/gateway/tests/test_routing.py
+++ b/hyssopshelf/gateway/tests/test_routing.py
@@ -1,6 +1,13 @@
 """Tests of where reads go, in load, lag and failure."""
 
-from hyssopshelf.gateway import boards, catalog, hedging, judgement, routing, statements
+from hyssopshelf.gateway import (
+    blackboard,
+    catalog,
+    endpoint_health,
+    hedging,
+    routing,
+    statements,
+)
 
 POSITION = statements.LogPosition
 NOW = 100.0
@@ -32,7 +39,7 @@
 
 
 def make_board(**changes):
-    board = boards.Board(
+    board = blackboard.GatewayBlackboard(
         place="a1", region="a", regions={"a1": "a", "b1": "b", "c1": "c"}
     )
     endpoints = [
@@ -41,12 +48,12 @@
         make_endpoint("far", "c1"),
     ]
     board.endpoints = {endpoint.id: endpoint for endpoint in endpoints}
-    board.tenures["db"] = boards.Tenure(
+    board.primary_grants["db"] = blackboard.PrimaryGrant(
         endpoint="p", term=1, version=1, valid_until=NOW + 1
     )
-    log = board.get_log("db")
+    log = board.get_positions("db")
     log.start_term(1)
-    log.observe(POSITION(1, 7), NOW - 0.5)
+    log.add(POSITION(1, 7), NOW - 0.5)
     return board
 
 
@@ -79,13 +86,13 @@
 def test_no_replica_is_used_without_a_recent_observation():
     """A cut from the primary must not lead to reads that are too old."""
     board = make_board()
-    board.get_log("db").start_term(1)
+    board.get_positions("db").start_term(1)
     assert [c.endpoint.id for c in choose(board)] == ["p"]
 
 
 def test_no_primary_is_used_after_the_belief_has_lapsed():
     board = make_board()
-    board.tenures["db"] = boards.Tenure(
+    board.primary_grants["db"] = blackboard.PrimaryGrant(
         endpoint="p", term=1, version=1, valid_until=NOW
     )
     assert all(not c.primary for c in choose(board))
@@ -95,7 +102,7 @@
 
 def test_no_primary_is_used_while_it_is_being_replaced():
     board = make_board()
-    board.closing.add("db")
+    board.releasing.add("db")
     assert choose(board, make_route(catalog.ReadRule.PRIMARY)) == []
 
 
@@ -108,9 +115,9 @@
 
 def test_a_failing_endpoint_is_the_last_choice_and_stays_one():
     board = make_board()
-    judgement.record_failure(board.get_health("near"), NOW - 0.05, NOW)
+    endpoint_health.record_failure(board.get_health("near"), NOW - 0.05, NOW)
     assert [c.endpoint.id for c in choose(board)][-1] == "near"
-    later = NOW + judgement.FIRST_AVOIDANCE_SECONDS
+    later = NOW + endpoint_health.FIRST_AVOIDANCE_SECONDS
     found = routing.list_candidates(
         board, make_route(), None, lambda _: 0.0, set(), later
     )
@@ -122,9 +129,9 @@
 
 
 def test_an_answer_of_another_connection_outweighs_an_older_failure():
-    health = boards.EndpointHealth()
-    judgement.record_answer(health, 0.01, NOW)
-    judgement.record_failure(health, NOW - 0.5, NOW + 0.1)
+    health = blackboard.EndpointHealth()
+    endpoint_health.record_answer(health, 0.01, NOW)
+    endpoint_health.record_failure(health, NOW - 0.5, NOW + 0.1)
     assert health.failures == 0
 
 
@@ -133,10 +140,10 @@
     board = make_board()
     health = board.get_health("near")
     for number in range(60):
-        judgement.record_outcome(health, number % 5 == 0, NOW)
+        endpoint_health.record_outcome(health, number % 5 == 0, NOW)
     assert choose(board)[0].endpoint.id != "near"
     for _ in range(60):
-        judgement.record_outcome(health, False, NOW)
+        endpoint_health.record_outcome(health, False, NOW)
     assert choose(board)[0].endpoint.id == "near"
 
 
@@ -145,10 +152,10 @@
     board = make_board()
     health = board.get_health("near")
     for _ in range(60):
-        judgement.record_outcome(health, True, NOW - 8.0)
+        endpoint_health.record_outcome(health, True, NOW - 8.0)
     assert choose(board)[0].endpoint.id == "near"
     for _ in range(5):
-        judgement.record_outcome(health, True, NOW)
+        endpoint_health.record_outcome(health, True, NOW)
     assert choose(board)[0].endpoint.id != "near"
 
 
@@ -170,13 +177,13 @@
 def test_a_lagging_replica_is_asked_rarely_and_used_again_soon():
     """Reads of a second do not each ask a replica that is three seconds behind."""
     board = make_board()
-    log = board.get_log("db")
+    log = board.get_positions("db")
     refused = 0
     used_at = None
     for step in range(600):
         now = NOW + step / 100
-        log.observe(POSITION(1, 8 + step), now - 0.2)
-        board.tenures["db"] = boards.Tenure(
+        log.add(POSITION(1, 8 + step), now - 0.2)
+        board.primary_grants["db"] = blackboard.PrimaryGrant(
             endpoint="p", term=1, version=1, valid_until=now + 1
         )
         held = POSITION(1, 7 + max(0, step - 300) if step < 500 else 8 + step)
@@ -188,20 +195,20 @@
             continue
         health = board.get_health("near")
         if held >= near.position:
-            judgement.end_lag(health)
+            endpoint_health.end_lag(health)
             if step >= 500:
                 used_at = used_at or now
         else:
             refused += 1
-            judgement.record_lag(health, held, now)
+            endpoint_health.record_lag(health, held, now)
     # Four doublings, then one each 0.8 s.
-    assert refused <= 4 + 5.0 / judgement.LONGEST_LAG_SECONDS
-    assert used_at - (NOW + 5.0) <= judgement.LONGEST_LAG_SECONDS + 0.01
+    assert refused <= 4 + 5.0 / endpoint_health.LONGEST_LAG_SECONDS
+    assert used_at - (NOW + 5.0) <= endpoint_health.LONGEST_LAG_SECONDS + 0.01
 
 
 def test_a_lagging_replica_serves_reads_that_need_less():
     board = make_board()
-    judgement.record_lag(board.get_health("near"), POSITION(1, 7), NOW)
+    endpoint_health.record_lag(board.get_health("near"), POSITION(1, 7), NOW)
     assert choose(board)[0].endpoint.id == "near"
     route = make_route(catalog.ReadRule.OWN_WRITES)
     found = choose(board, route, own=POSITION(1, 9))
--- a/hyssopshelf/gateway/tests/test_searches.py
+++ b/hyssopshelf/gateway/tests/test_searches.py
@@ -7,7 +7,7 @@
 
 from hyssopshelf import clocks, exceptions
 from hyssopshelf.gateway import (
-    boards,
+    blackboard,
     catalog,
     gates,
     gateway,
@@ -78,8 +78,8 @@
 
 
 def make_gateway(read_rule=catalog.ReadRule.PRIMARY):
-    board = boards.Board(place="a", region="r", regions={"a": "r"})
-    board.configuration = catalog.Catalog(
+    board = blackboard.GatewayBlackboard(place="a", region="r", regions={"a": "r"})
+    board.configuration = catalog.Configuration(
         version=1,
         routes={
             "db": catalog.Route(
@@ -112,7 +112,7 @@
 
 
 def lead(serving, endpoint: str, version: int) -> None:
-    serving.board.tenures["db"] = boards.Tenure(
+    serving.board.primary_grants["db"] = blackboard.PrimaryGrant(
         endpoint=endpoint,
         term=version,
         version=version,
@@ -122,8 +122,8 @@
 
 
 def release(serving) -> None:
-    del serving.board.tenures["db"]
-    serving.supersede("db")
+    del serving.board.primary_grants["db"]
+    serving.cancel_waiting("db")
 
 
 async def ask(serving, text: str) -> tuple[statements.Reply, float]:
@@ -283,8 +283,8 @@
     async def scenario():
         serving = make_gateway(catalog.ReadRule.BOUNDED)
         lead(serving, "one", 1)
-        serving.board.get_log("db").start_term(1)
-        serving.board.get_log("db").observe(
+        serving.board.get_positions("db").start_term(1)
+        serving.board.get_positions("db").add(
             statements.LogPosition(1, 1), clocks.read_clock() - 0.1
         )
         for number in range(40):
--- a/hyssopshelf/gateway/transactions.py
+++ b/hyssopshelf/gateway/transactions.py
@@ -16,7 +16,7 @@
     ----------
     gate, link : Gate and Link or None
         Where it runs; None before its first statement.
-    tenure_version : int
+    grant_version : int
         Version of the belief in the primary under which it started, 0 on
         replicas.
     wrote : bool
@@ -29,7 +29,7 @@
     route: catalog.Route
     gate: gates.Gate | None = None
     link: links.Link | None = None
-    tenure_version: int = 0
+    grant_version: int = 0
     wrote: bool = False
     idle_since: float = 0.0
 
@@ -52,7 +52,7 @@
             return turn
     commits_writes = commit and transaction.wrote
     if (commits_writes or writes) and not execution.can_acknowledge(
-        session.gateway, transaction.route.database, transaction.tenure_version
+        session.gateway, transaction.route.database, transaction.grant_version
     ):
         if turn is not None:
             transaction.gate.leave(turn)
@@ -96,7 +96,7 @@
             session.trail.add(gate.endpoint.id, f"refused ({refusal.reason})")
             raise
     if commits_writes:
-        gateway.start_write(gate.endpoint.database, transaction.tenure_version)
+        gateway.start_write(gate.endpoint.database, transaction.grant_version)
     sent_at = clocks.read_clock()
     make_message = execution.make_message(session, request, None)
     try:
@@ -108,13 +108,13 @@
         raise
     finally:
         if commits_writes:
-            gateway.end_write(gate.endpoint.database, transaction.tenure_version)
+            gateway.end_write(gate.endpoint.database, transaction.grant_version)
         gate.leave(turn)
     transaction.idle_since = clocks.read_clock()
     if reply.error is not None:
         session.trail.add(gate.endpoint.id, reply.error.value)
-    elif transaction.tenure_version:
-        execution.observe(gateway, gate, transaction.tenure_version, reply, sent_at)
+    elif transaction.grant_version:
+        execution.observe(gateway, gate, transaction.grant_version, reply, sent_at)
     return reply
 
 
@@ -169,5 +169,5 @@
         session.trail.add(gate.endpoint.id, f"begin {reason}")
         return reply
     transaction.gate, transaction.link = gate, link
-    transaction.tenure_version = entered.version
+    transaction.grant_version = entered.version
     return reply
