--- a/hyssopshelf/authority/change.py
+++ b/hyssopshelf/authority/change.py
@@ -76,16 +76,16 @@
         The coordinator whose authority the changes use.
     recorder : AssignmentRecorder
         Writes the assignments to the store.
-    duty : object
+    promotion_client : object
         Client of the platform's promote call.
     """
 
-    def __init__(self, *, coordinator, recorder, duty) -> None:
+    def __init__(self, *, coordinator, recorder, promotion_client) -> None:
         self.coordinator = coordinator
         self.recorder = recorder
-        self.duty = duty
-        self.local = coordinator.local
-        self.gateway = coordinator.local.gateway
+        self.promotion_client = promotion_client
+        self.local_member = coordinator.local_member
+        self.gateway = coordinator.local_member.gateway
         self._busy: set[str] = set()
         self._lapsed_since: dict[str, float] = {}
         self._retry_at: dict[str, float] = collections.defaultdict(float)
@@ -102,7 +102,7 @@
 
     def _list_databases(self) -> list[str]:
         names = {entry.database for entry in self.gateway.board.endpoints.values()}
-        return sorted(names | set(self.local.assignments.databases))
+        return sorted(names | set(self.local_member.assignments.databases))
 
     def _list_endpoints(self, database: str) -> dict:
         return {
@@ -114,7 +114,7 @@
     def _inspect(self, database: str, reaches: dict, now: float) -> None:
         if database in self._busy or now < self._retry_at[database]:
             return
-        assigned = self.local.assignments.databases.get(database)
+        assigned = self.local_member.assignments.databases.get(database)
         endpoints = self._list_endpoints(database)
         if assigned is None:
             if any(endpoint.leads for endpoint in endpoints.values()):
@@ -145,7 +145,7 @@
 
     def _is_abandoned(self, database: str, version: int) -> bool:
         """Return whether a node gave the assignment back for a change that ended."""
-        if self.local.released.get(database, 0) >= version:
+        if self.local_member.released.get(database, 0) >= version:
             return True
         members = self.coordinator.ledger.members.values()
         return any(state.abandoned.get(database, 0) >= version for state in members)
@@ -329,7 +329,7 @@
             finish_seconds=finish,
         )
         own = asyncio.get_running_loop().create_task(
-            self.local.release(database, version, finish)
+            self.local_member.release(database, version, finish)
         )
         send_at = 0.0
         started = clocks.read_clock()
@@ -343,7 +343,7 @@
                 for host in holders:
                     state = self.coordinator.ledger.members[host]
                     if now - started > timing.STUCK_SECONDS:
-                        self.local.reset(state.address)
+                        self.local_member.reset(state.address)
                     self.coordinator.send(host, state.address, message)
             await asyncio.sleep(member.RELEASE_CHECK_SECONDS)
 
@@ -369,7 +369,7 @@
             if not self.coordinator.may_change(clocks.read_clock()):
                 return False
             if not accepted:
-                answer = await self.duty.promote(
+                answer = await self.promotion_client.promote(
                     database,
                     entry.endpoint,
                     self.coordinator.record.epoch,
@@ -407,7 +407,9 @@
 
     async def _complete(self, database: str, entry, status, started: float) -> None:
         done = attrs.evolve(entry, term=status.term, promoting=False)
-        self.local.assignments = self.local.assignments.replace(database, done)
+        self.local_member.assignments = self.local_member.assignments.replace(
+            database, done
+        )
         self.coordinator.closed.discard(database)
         self.coordinator.renew_own_grants()
         self.coordinator.announce()
@@ -439,10 +441,10 @@
             await asyncio.sleep(1.0)
 
     async def _demote(self, endpoint, term: int) -> None:
-        wire = self.gateway.endpoint_wire
+        codec = self.gateway.endpoint_codec
         try:
             await probes.send_unqueued(
-                self.gateway, endpoint, wire.format_demote(term), STATUS_SECONDS
+                self.gateway, endpoint, codec.format_demote(term), STATUS_SECONDS
             )
         except links.LinkError as error:
             logs.write(
@@ -462,10 +464,10 @@
         return await self.recorder.record(database, entry)
 
     async def _ask_status(self, endpoint) -> Status | None:
-        wire = self.gateway.endpoint_wire
+        codec = self.gateway.endpoint_codec
         try:
             reply = await probes.send_unqueued(
-                self.gateway, endpoint, wire.format_status(), STATUS_SECONDS
+                self.gateway, endpoint, codec.format_status(), STATUS_SECONDS
             )
         except links.LinkError as error:
             self._log_no_status(endpoint, error.reason)
@@ -473,7 +475,7 @@
         if reply.error is not None or not reply.rows:
             self._log_no_status(endpoint, reply.error.value if reply.error else "empty")
             return None
-        role, term, position = wire.parse_status(reply.rows[0])
+        role, term, position = codec.parse_status(reply.rows[0])
         return Status(role=role, term=term, position=position)
 
     def _log_no_status(self, endpoint, reason: str) -> None:
--- a/hyssopshelf/authority/coordinator.py
+++ b/hyssopshelf/authority/coordinator.py
@@ -23,7 +23,7 @@
     ----------
     identity : MemberRecord
         This node.
-    local : Member
+    local_member : Member
         The member part of this node; it holds assignments and documents.
     record : CoordinatorRecord
         The record in the store that makes this node the coordinator.
@@ -39,10 +39,10 @@
     """
 
     def __init__(
-        self, *, identity, local, record, revision, store, send, caretaker=False
+        self, *, identity, local_member, record, revision, store, send, caretaker=False
     ) -> None:
         self.identity = identity
-        self.local = local
+        self.local_member = local_member
         self.record = record
         self.revision = revision
         self.store = store
@@ -92,7 +92,7 @@
         known.address = address
         if ping.stamp and ping.held > timing.STUCK_SECONDS:
             # The member has not had an answer for a while.
-            self.local.reset(address)
+            self.local_member.reset(address)
         follows = ping.epoch == self.record.epoch
         self.ledger.record_ping(known, ping, follows, now)
         if ping.shares_version == shares.find_version(self.shares.get(host)):
@@ -125,10 +125,10 @@
         if not authority:
             return
         until = self.ledger.find_authority_end()
-        self.local.answered_at = now
-        self.local.apply_grants(until, tuple(self.closed))
+        self.local_member.answered_at = now
+        self.local_member.apply_grants(until, tuple(self.closed))
         found = self._collect_observations(now)
-        member.merge_observations(self.local.gateway.board, found, now)
+        member.merge_observations(self.local_member.gateway.board, found, now)
 
     def announce(self) -> None:
         """Make all members ping now."""
@@ -173,8 +173,8 @@
         task.add_done_callback(self._tasks.discard)
 
     def _answer(self, ping, host: str, address: str, now: float, grant: bool) -> None:
-        held = self.local.documents
-        newer = self.local.assignments
+        document_cache = self.local_member.document_cache
+        newer = self.local_member.assignments
         pong = exchange.Pong(
             sequence=ping.sequence,
             epoch=self.record.epoch,
@@ -189,17 +189,21 @@
                 else None
             ),
             configuration=self._pick_configuration(ping),
-            configuration_version=held.configuration_version,
+            configuration_version=document_cache.configuration_version,
             registry=(
-                self._compress("registry", held.registry_version, held.registry)
-                if ping.registry_version != held.registry_version
+                self._compress(
+                    "registry", document_cache.registry_version, document_cache.registry
+                )
+                if ping.registry_version != document_cache.registry_version
                 else None
             ),
-            registry_version=held.registry_version,
+            registry_version=document_cache.registry_version,
             members=(
-                held.members if ping.members_version != held.members_version else None
+                document_cache.members
+                if ping.members_version != document_cache.members_version
+                else None
             ),
-            members_version=held.members_version,
+            members_version=document_cache.members_version,
             successors=self.find_successors(now),
             observations=self._collect_observations(now),
             shares=self._pick_shares(host),
@@ -215,11 +219,13 @@
 
         A large one would keep the answers to pings waiting on a narrow link.
         """
-        held = self.local.documents
-        if ping.configuration_version >= held.configuration_version:
+        document_cache = self.local_member.document_cache
+        if ping.configuration_version >= document_cache.configuration_version:
             return None
         data = self._compress(
-            "configuration", held.configuration_version, held.configuration
+            "configuration",
+            document_cache.configuration_version,
+            document_cache.configuration,
         )
         if data is None or ping.wants_configuration:
             return data
@@ -227,9 +233,11 @@
 
     def publish_configuration(self) -> None:
         """Send a large configuration to one member of each place, and announce."""
-        held = self.local.documents
+        document_cache = self.local_member.document_cache
         data = self._compress(
-            "configuration", held.configuration_version, held.configuration
+            "configuration",
+            document_cache.configuration_version,
+            document_cache.configuration,
         )
         if data is not None and len(data) > timing.SMALL_DOCUMENT_BYTES:
             now = clocks.read_clock()
@@ -242,7 +250,7 @@
                     relays[state.place] = state
             message = exchange.Document(
                 epoch=self.record.epoch,
-                version=held.configuration_version,
+                version=document_cache.configuration_version,
                 data=data,
                 relay=True,
             )
@@ -271,7 +279,7 @@
                 self._observations[database] = (version, at, term, number)
 
     def _collect_observations(self, now: float) -> dict[str, tuple]:
-        found = member.collect_observations(self.local.gateway.board, now)
+        found = member.collect_observations(self.local_member.gateway.board, now)
         for database, (version, at, term, number) in self._observations.items():
             age = round(now - at, 4)
             if age > OBSERVATION_SECONDS:
@@ -283,8 +291,8 @@
 
     def divide_connections(self) -> None:
         """Decide which hosts hold how many connections to each endpoint."""
-        local = self.local
-        gateway = local.gateway
+        local_member = self.local_member
+        gateway = local_member.gateway
         now = clocks.read_clock()
         nodes = [
             shares.Node(
@@ -292,7 +300,7 @@
                 address=self.identity.address,
                 place=self.identity.place,
                 region=gateway.board.region,
-                capacity=local.capacity,
+                capacity=local_member.capacity,
                 demand=gateway.measure_demand(reset=False),
             )
         ]
@@ -320,7 +328,7 @@
         if holders != self.holders:
             self.holders = holders
             self.holders_version = zlib.crc32(repr(sorted(holders.items())).encode())
-            local.apply_holders(holders, self.holders_version)
+            local_member.apply_holders(holders, self.holders_version)
             logs.write(
                 logs.LogEvent.HOLDERS_CHOSEN,
                 {"endpoints": len(holders), "nodes": len(nodes)},
@@ -420,10 +428,13 @@
             )
             for state in sorted(self.ledger.members.values(), key=lambda s: s.host)
         ]
-        self.local.members = {record.host: record for record in records}
+        self.local_member.members = {record.host: record for record in records}
         data = msgpack.packb({"members": [attrs.asdict(record) for record in records]})
-        held = self.local.documents
-        held.members, held.members_version = zlib.compress(data, 1), zlib.crc32(data)
+        document_cache = self.local_member.document_cache
+        document_cache.members, document_cache.members_version = (
+            zlib.compress(data, 1),
+            zlib.crc32(data),
+        )
 
 
 def make_record(
--- a/hyssopshelf/authority/dispatch.py
+++ b/hyssopshelf/authority/dispatch.py
@@ -14,13 +14,13 @@
 
 @apply.register
 def _apply_ping(message: exchange.Ping, node, host: str, address: str) -> None:
-    leading = node.coordinator
-    if leading is None or not leading.active:
+    local_coordinator = node.coordinator
+    if local_coordinator is None or not local_coordinator.active:
         return
-    if message.epoch > leading.record.epoch:
-        leading.stop("a newer coordinator exists")
+    if message.epoch > local_coordinator.record.epoch:
+        local_coordinator.stop("a newer coordinator exists")
     else:
-        leading.receive_ping(message, host, address)
+        local_coordinator.receive_ping(message, host, address)
 
 
 @apply.register
@@ -36,10 +36,10 @@
 
 @apply.register
 def _apply_released(message: exchange.Released, node, host: str, address: str) -> None:
-    leading = node.coordinator
-    if leading is None or message.epoch != leading.record.epoch:
+    local_coordinator = node.coordinator
+    if local_coordinator is None or message.epoch != local_coordinator.record.epoch:
         return
-    state = leading.ledger.members.get(host)
+    state = local_coordinator.ledger.members.get(host)
     if state is not None:
         before = state.released.get(message.database, 0)
         state.released[message.database] = max(message.version, before)
@@ -49,8 +49,8 @@
 def _apply_inquire(message: exchange.Inquire, node, host: str, address: str) -> None:
     now = clocks.read_clock()
     silence = now - node.member.answered_at
-    leading = node.coordinator
-    if leading is not None and leading.has_authority(now):
+    local_coordinator = node.coordinator
+    if local_coordinator is not None and local_coordinator.has_authority(now):
         silence = 0.0
     answer = exchange.Contact(
         number=message.number,
@@ -72,12 +72,12 @@
 def _apply_announce(message: exchange.Announce, node, host: str, address: str) -> None:
     if message.epoch < node.member.epoch:
         return
-    leading = node.coordinator
-    if leading is not None and leading.active:
-        if message.epoch <= leading.record.epoch:
+    local_coordinator = node.coordinator
+    if local_coordinator is not None and local_coordinator.active:
+        if message.epoch <= local_coordinator.record.epoch:
             return
-        leading.stop("a newer coordinator announced itself")
-    if message.epoch > node.member.epoch or node.member.coordinator is None:
+        local_coordinator.stop("a newer coordinator announced itself")
+    if message.epoch > node.member.epoch or node.member.coordinator_record is None:
         record = assignments.CoordinatorRecord(
             host=host,
             address=address,
@@ -91,7 +91,7 @@
 
 @apply.register
 def _apply_locate(message: exchange.Locate, node, host: str, address: str) -> None:
-    record = node.member.coordinator
+    record = node.member.coordinator_record
     if record is not None and node.member.answered_at > 0.0:
         located = exchange.Located(
             host=record.host,
@@ -104,7 +104,7 @@
 
 @apply.register
 def _apply_located(message: exchange.Located, node, host: str, address: str) -> None:
-    if node.member.coordinator is not None or message.host == node.identity.host:
+    if node.member.coordinator_record is not None or message.host == node.identity.host:
         return
     record = assignments.CoordinatorRecord(
         host=message.host,
--- a/hyssopshelf/authority/election.py
+++ b/hyssopshelf/authority/election.py
@@ -25,7 +25,7 @@
     A member never takes over while a promise of its own is in force, unless the
     coordinator asks for it.
     """
-    record = member.coordinator
+    record = member.coordinator_record
     if record is None:
         return ABSENT
     own = member.identity.host
--- a/hyssopshelf/authority/member.py
+++ b/hyssopshelf/authority/member.py
@@ -23,7 +23,7 @@
 
 
 @attrs.define(kw_only=True)
-class Documents:
+class DocumentCache:
     """Newest documents that a node knows, as the store held them.
 
     Attributes
@@ -54,7 +54,7 @@
         This node.
     gateway : Gateway
         Whose board receives the primary grants.
-    documents : Documents
+    document_cache : DocumentCache
         Newest documents; shared with the coordinator.
     apply_document : callable
         Takes ``configuration`` or ``registry`` and puts the document in force.
@@ -63,15 +63,15 @@
     """
 
     def __init__(
-        self, *, identity, gateway, documents, apply_document, send, reset
+        self, *, identity, gateway, document_cache, apply_document, send, reset
     ) -> None:
         self.identity = identity
         self.gateway = gateway
-        self.documents = documents
+        self.document_cache = document_cache
         self.apply_document = apply_document
         self.send = send
         self.reset = reset
-        self.coordinator: assignments.CoordinatorRecord | None = None
+        self.coordinator_record: assignments.CoordinatorRecord | None = None
         self.epoch = 0
         self.assignments = assignments.Assignments()
         self.members: dict[str, assignments.MemberRecord] = {}
@@ -95,7 +95,7 @@
         """Take a node as the coordinator if its epoch is the newest."""
         if record.epoch < self.epoch:
             return
-        if self.coordinator != record:
+        if self.coordinator_record != record:
             logs.write(
                 logs.LogEvent.COORDINATOR_FOLLOWED,
                 {
@@ -109,11 +109,11 @@
             self.store_age_at = float("-inf")
             self.followed_at = clocks.read_clock()
         self.epoch = record.epoch
-        self.coordinator = record
+        self.coordinator_record = record
 
     def ping(self) -> None:
         """Send a ping to the coordinator."""
-        record = self.coordinator
+        record = self.coordinator_record
         if record is None or record.host == self.identity.host:
             return
         now = clocks.read_clock()
@@ -133,7 +133,7 @@
             if now - at < timing.GRANT_SECONDS
         }
         self._sent[self._sequence] = now
-        held = self.documents
+        document_cache = self.document_cache
         message = exchange.Ping(
             sequence=self._sequence,
             incarnation=self.identity.incarnation,
@@ -143,9 +143,9 @@
             held=now - self._stamped_at if self._stamp else 0.0,
             promises=promises,
             assignments_version=self.assignments.version,
-            configuration_version=held.configuration_version,
-            registry_version=held.registry_version,
-            members_version=held.members_version,
+            configuration_version=document_cache.configuration_version,
+            registry_version=document_cache.registry_version,
+            members_version=document_cache.members_version,
             holders_version=self.holders_version,
             shares_version=shares.find_version(self.gateway.shares),
             capacity=self.capacity,
@@ -168,7 +168,7 @@
         """Apply an answer of the coordinator."""
         sent_at = self._sent.pop(pong.sequence, None)
         now = clocks.read_clock()
-        record = self.coordinator
+        record = self.coordinator_record
         if sent_at is None or record is None or record.host != host:
             return
         if pong.epoch > self.epoch:
@@ -211,8 +211,8 @@
         """Use a large configuration and pass it on to the members of this place."""
         if document.epoch < self.epoch:
             return
-        held = self.documents
-        if document.version > held.configuration_version:
+        document_cache = self.document_cache
+        if document.version > document_cache.configuration_version:
             self.apply_document("configuration", zlib.decompress(document.data))
         if not document.relay:
             return
@@ -230,24 +230,27 @@
         }
 
     def _apply_documents(self, pong: exchange.Pong, now: float) -> None:
-        held = self.documents
+        document_cache = self.document_cache
         if pong.assignments is not None:
             newer = assignments.decode_assignments(pong.assignments)
             if newer.version > self.assignments.version:
                 self.assignments = newer
         if pong.members is not None:
-            held.members, held.members_version = pong.members, pong.members_version
+            document_cache.members, document_cache.members_version = (
+                pong.members,
+                pong.members_version,
+            )
             self.members = decode_members(pong.members)
         if pong.configuration is not None:
             self.apply_document("configuration", zlib.decompress(pong.configuration))
-        if pong.configuration_version > held.configuration_version:
+        if pong.configuration_version > document_cache.configuration_version:
             if self._missing_since is None:
                 self._missing_since = now
         else:
             self._missing_since = None
         read_at = now - pong.store_age
-        if pong.registry is not None and read_at > held.registry_read_at:
-            held.registry_read_at = read_at
+        if pong.registry is not None and read_at > document_cache.registry_read_at:
+            document_cache.registry_read_at = read_at
             self.apply_document("registry", zlib.decompress(pong.registry))
 
     def apply_grants(self, valid_until: float, closed: tuple[str, ...]) -> None:
--- a/hyssopshelf/authority/participant.py
+++ b/hyssopshelf/authority/participant.py
@@ -38,11 +38,11 @@
         This node.
     gateway : Gateway
         Receives the beliefs.
-    documents : Documents
+    document_cache : DocumentCache
         Newest documents.
-    feeds : object
-        Reads documents from the store; ``read_all`` and ``follow`` coroutines.
-    store, duty : object
+    store_watcher : object
+        Reads documents from the store; ``read_all`` and ``watch`` coroutines.
+    store, promotion_client : object
         Clients of the platform.
     send, reset : callable
         Take host, address and message; the address of a stuck connection.
@@ -57,11 +57,11 @@
         *,
         identity,
         gateway,
-        documents,
+        document_cache,
         apply_document,
-        feeds,
+        store_watcher,
         store,
-        duty,
+        promotion_client,
         send,
         reset,
         seeds: tuple[str, ...] = (),
@@ -70,14 +70,14 @@
         self.identity = identity
         self.seeds = seeds
         self.gateway = gateway
-        self.feeds = feeds
+        self.store_watcher = store_watcher
         self.store = store
-        self.duty = duty
+        self.promotion_client = promotion_client
         self.send = send
         self.member = member.Member(
             identity=identity,
             gateway=gateway,
-            documents=documents,
+            document_cache=document_cache,
             apply_document=apply_document,
             send=send,
             reset=reset,
@@ -104,8 +104,8 @@
 
     def measure_silence(self, now: float) -> float:
         """Return the time since a coordinator with authority was heard."""
-        leading = self.coordinator
-        if leading is not None and leading.has_authority(now):
+        local_coordinator = self.coordinator
+        if local_coordinator is not None and local_coordinator.has_authority(now):
             return 0.0
         return now - self.member.answered_at
 
@@ -122,18 +122,18 @@
             await asyncio.sleep(timing.ELECTION_CHECK_SECONDS)
 
     def _ping(self) -> None:
-        leading = self.coordinator
-        if leading is not None and leading.active:
+        local_coordinator = self.coordinator
+        if local_coordinator is not None and local_coordinator.active:
             return
         self.coordinator = None
-        if self.member.coordinator is None:
+        if self.member.coordinator_record is None:
             for address in self.seeds:
                 self.send("", address, exchange.Locate())
         self.member.ping()
 
     def _check_election(self, now: float) -> None:
-        leading = self.coordinator
-        if leading is not None and leading.active:
+        local_coordinator = self.coordinator
+        if local_coordinator is not None and local_coordinator.active:
             return
         if (
             self._taking_over
@@ -165,8 +165,12 @@
     def _should_go_on(self, reason: str) -> bool:
         """Return whether an attempt to take over still has its reason."""
         if reason == election.STORE_LOST:
-            leading = self.coordinator
-            return leading is not None and leading.active and leading.caretaker
+            local_coordinator = self.coordinator
+            return (
+                local_coordinator is not None
+                and local_coordinator.active
+                and local_coordinator.caretaker
+            )
         return election.find_reason(self.member, clocks.read_clock()) == reason
 
     async def _register(self) -> None:
@@ -262,77 +266,78 @@
 
     async def _start(self, record, revision, current, reason) -> None:
         now = clocks.read_clock()
-        leading = coordinator.Coordinator(
+        local_coordinator = coordinator.Coordinator(
             identity=self.identity,
-            local=self.member,
+            local_member=self.member,
             record=record,
             revision=revision,
             store=self.store,
             send=self.send,
         )
-        leading.ledger.confirmed_at = now
+        local_coordinator.ledger.confirmed_at = now
         if current is not None:
-            leading.ledger.predecessor_ended_at = now
-        self._lead(leading, reason)
-        leading.run_in_background(renewal.renew(leading))
-        leading.run_in_background(self._coordinate(leading))
+            local_coordinator.ledger.predecessor_ended_at = now
+        self._lead(local_coordinator, reason)
+        local_coordinator.run_in_background(renewal.renew(local_coordinator))
+        local_coordinator.run_in_background(self._coordinate(local_coordinator))
 
-    def _lead(self, leading: coordinator.Coordinator, reason: str) -> None:
-        before = self.member.coordinator
+    def _lead(self, local_coordinator: coordinator.Coordinator, reason: str) -> None:
+        before = self.member.coordinator_record
         if self.coordinator is not None:
             self.coordinator.stop("continues with the store")
         logs.write(
             logs.LogEvent.COORDINATION_STARTED,
             {
-                "epoch": leading.record.epoch,
+                "epoch": local_coordinator.record.epoch,
                 "reason": reason,
                 "before": before.host if before is not None else "",
-                "caretaker": leading.caretaker,
+                "caretaker": local_coordinator.caretaker,
             },
         )
-        self.member.follow(leading.record)
-        self.coordinator = leading
+        self.member.follow(local_coordinator.record)
+        self.coordinator = local_coordinator
 
-    async def _coordinate(self, leading) -> None:
+    async def _coordinate(self, local_coordinator) -> None:
         """Load the state that earlier coordinators left, then serve it."""
-        while (revision := await self._load(leading)) is None:
+        while (revision := await self._load(local_coordinator)) is None:
             await asyncio.sleep(timing.PING_SECONDS)
-        leading.publish_members()
+        local_coordinator.publish_members()
         controller = change.ChangeController(
-            coordinator=leading,
+            coordinator=local_coordinator,
             recorder=recorder.AssignmentRecorder(
-                coordinator=leading, revision=revision
+                coordinator=local_coordinator, revision=revision
             ),
-            duty=self.duty,
+            promotion_client=self.promotion_client,
         )
-        leading.run_in_background(controller.run())
-        leading.run_in_background(self.feeds.follow(leading))
-        await self._serve(leading)
+        local_coordinator.run_in_background(controller.run())
+        local_coordinator.run_in_background(self.store_watcher.watch(local_coordinator))
+        await self._serve(local_coordinator)
 
-    async def _serve(self, leading) -> None:
+    async def _serve(self, local_coordinator) -> None:
         # The first answers name the holders, so that nobody connects without need.
-        leading.divide_connections()
-        leading.announce()
-        leading.renew_own_grants()
+        local_coordinator.divide_connections()
+        local_coordinator.announce()
+        local_coordinator.renew_own_grants()
         listed_at = clocks.read_clock()
-        while leading.active:
+        while local_coordinator.active:
             await asyncio.sleep(timing.PING_SECONDS / 2)
-            leading.ledger.update_majority(clocks.read_clock())
-            leading.renew_own_grants()
-            leading.divide_connections()
-            if leading.members_changed:
-                leading.publish_members()
-            if leading.caretaker:
+            local_coordinator.ledger.update_majority(clocks.read_clock())
+            local_coordinator.renew_own_grants()
+            local_coordinator.divide_connections()
+            if local_coordinator.members_changed:
+                local_coordinator.publish_members()
+            if local_coordinator.caretaker:
                 continue
             if clocks.read_clock() - listed_at > MEMBER_LIST_SECONDS:
                 listed_at = clocks.read_clock()
-                await self._list_members(leading)
-                await leading.expel_silent()
+                await self._list_members(local_coordinator)
+                await local_coordinator.expel_silent()
 
-    async def _load(self, leading) -> int | None:
+    async def _load(self, local_coordinator) -> int | None:
         """Load assignments and members; return the revision of the assignments."""
         found, listed = await asyncio.gather(
-            self.store.get(assignments.ASSIGNMENTS_KEY), self._list_members(leading)
+            self.store.get(assignments.ASSIGNMENTS_KEY),
+            self._list_members(local_coordinator),
         )
         if found.is_err() or not listed:
             return None
@@ -343,43 +348,45 @@
             self.member.assignments = loaded
         return found.ok_value.revision
 
-    async def _list_members(self, leading) -> bool:
+    async def _list_members(self, local_coordinator) -> bool:
         page = await self.store.list(assignments.MEMBER_PREFIX)
         if page.is_err():
             return False
         for entry in page.ok_value.entries:
             record = assignments.decode_member(entry.value)
             if record.host != self.identity.host:
-                leading.add_member(record)
+                local_coordinator.add_member(record)
         return True
 
     def _become_caretaker(self) -> None:
         """Grant the last assignments while nobody reaches the store."""
-        local = self.member
+        local_member = self.member
         record = assignments.CoordinatorRecord(
             host=self.identity.host,
             address=self.identity.address,
             incarnation=self.identity.incarnation,
-            epoch=local.epoch + 1,
+            epoch=local_member.epoch + 1,
             lease=0,
         )
-        leading = coordinator.Coordinator(
+        local_coordinator = coordinator.Coordinator(
             identity=self.identity,
-            local=local,
+            local_member=local_member,
             record=record,
             revision=0,
             store=self.store,
             send=self.send,
             caretaker=True,
         )
-        leading.store_contact_at = local.store_age_at - local.store_age
-        leading.ledger.confirmed_at = leading.store_contact_at
-        for host, known in local.members.items():
+        local_coordinator.store_contact_at = (
+            local_member.store_age_at - local_member.store_age
+        )
+        local_coordinator.ledger.confirmed_at = local_coordinator.store_contact_at
+        for host, known in local_member.members.items():
             if host != self.identity.host:
-                leading.add_member(known)
-        self._lead(leading, election.STORE_LOST)
-        leading.run_in_background(self._wait_for_store())
-        leading.run_in_background(self._serve(leading))
+                local_coordinator.add_member(known)
+        self._lead(local_coordinator, election.STORE_LOST)
+        local_coordinator.run_in_background(self._wait_for_store())
+        local_coordinator.run_in_background(self._serve(local_coordinator))
 
     async def _wait_for_store(self) -> None:
         """Become a regular coordinator as soon as the store answers."""
--- a/hyssopshelf/authority/recorder.py
+++ b/hyssopshelf/authority/recorder.py
@@ -32,25 +32,25 @@
 
     async def record(self, database: str, entry: assignments.Assignment) -> bool:
         """Write one assignment, then use it; return whether it was written."""
-        local = self.coordinator.local
+        local_member = self.coordinator.local_member
         async with self._lock:
-            if not await self._write(local.assignments.replace(database, entry)):
+            if not await self._write(local_member.assignments.replace(database, entry)):
                 return False
             # A promotion of another database may have ended during the call.
-            local.assignments = local.assignments.replace(database, entry)
+            local_member.assignments = local_member.assignments.replace(database, entry)
         return True
 
     async def save(self) -> bool:
         """Write the assignments in use."""
         async with self._lock:
-            return await self._write(self.coordinator.local.assignments)
+            return await self._write(self.coordinator.local_member.assignments)
 
     async def _write(self, newer: assignments.Assignments) -> bool:
-        leading = self.coordinator
+        local_coordinator = self.coordinator
         for _ in range(WRITE_ATTEMPTS):
-            written = await leading.store.change(
+            written = await local_coordinator.store.change(
                 {
-                    assignments.COORDINATOR_KEY: leading.revision,
+                    assignments.COORDINATOR_KEY: local_coordinator.revision,
                     assignments.ASSIGNMENTS_KEY: self.revision,
                 },
                 {assignments.ASSIGNMENTS_KEY: assignments.encode(newer)},
--- a/hyssopshelf/authority/tests/test_participant.py
+++ b/hyssopshelf/authority/tests/test_participant.py
@@ -46,12 +46,12 @@
     board = blackboard.GatewayBlackboard(place="a", region="r", regions={"a": "r"})
     return participant.Participant(
         identity=assignments.MemberRecord(host="h", address="h:1", incarnation=5),
-        gateway=gateway.Gateway(board=board, endpoint_wire=None),
-        documents=member.Documents(),
+        gateway=gateway.Gateway(board=board, endpoint_codec=None),
+        document_cache=member.DocumentCache(),
         apply_document=None,
-        feeds=None,
+        store_watcher=None,
         store=store,
-        duty=None,
+        promotion_client=None,
         send=lambda host, address, message: None,
         reset=lambda address: None,
         capacity=capacity,
--- a/hyssopshelf/authority/tests/test_recorder.py
+++ b/hyssopshelf/authority/tests/test_recorder.py
@@ -63,12 +63,12 @@
 
 
 def make_recorder(store) -> recorder.AssignmentRecorder:
-    leading = types.SimpleNamespace(
-        local=types.SimpleNamespace(assignments=assignments.Assignments()),
+    local_coordinator = types.SimpleNamespace(
+        local_member=types.SimpleNamespace(assignments=assignments.Assignments()),
         revision=store.record_revision,
         store=store,
     )
-    return recorder.AssignmentRecorder(coordinator=leading, revision=0)
+    return recorder.AssignmentRecorder(coordinator=local_coordinator, revision=0)
 
 
 def make_entry(endpoint: str, version: int = 1) -> assignments.Assignment:
@@ -87,7 +87,7 @@
         )
         assert written == [True] * 3
         assert store.databases == {f"db{n}": make_entry(f"e{n}") for n in range(3)}
-        assert writing.coordinator.local.assignments.databases == store.databases
+        assert writing.coordinator.local_member.assignments.databases == store.databases
 
     asyncio.run(scenario())
 
--- a/hyssopshelf/authority/tests/test_rules.py
+++ b/hyssopshelf/authority/tests/test_rules.py
@@ -28,7 +28,7 @@
     record = types.SimpleNamespace(host="c")
     values = {
         "identity": types.SimpleNamespace(host="me"),
-        "coordinator": record,
+        "coordinator_record": record,
         "resigning": False,
         "successors": ("me", "other"),
         "members": {"me": None, "other": None, "third": None},
@@ -197,22 +197,22 @@
 
 def make_coordinator(sent: list, members: int):
     """Return a coordinator of members in three places that holds a configuration."""
-    local = types.SimpleNamespace(
-        documents=member.Documents(
+    local_member = types.SimpleNamespace(
+        document_cache=member.DocumentCache(
             configuration=os.urandom(100_000), configuration_version=7
         ),
         reset=None,
     )
-    leading = coordinator.Coordinator(
+    local_coordinator = coordinator.Coordinator(
         identity=assignments.MemberRecord(host="c", address="", incarnation=1),
-        local=local,
+        local_member=local_member,
         record=types.SimpleNamespace(epoch=1000),
         revision=1,
         store=None,
         send=lambda host, address, message: sent.append((host, message)),
     )
     for number in range(members):
-        leading.ledger.members[f"h{number}"] = ledger.MemberState(
+        local_coordinator.ledger.members[f"h{number}"] = ledger.MemberState(
             host=f"h{number}",
             address="",
             incarnation=1,
@@ -220,14 +220,14 @@
             heard_at=clocks.read_clock(),
             capacity=2.0 if number < 3 else 0.5,
         )
-    return leading
+    return local_coordinator
 
 
 def test_a_large_configuration_leaves_the_coordinator_once_for_each_place():
     """On a narrow link 76 copies would keep grants waiting for seconds."""
     sent: list = []
-    leading = make_coordinator(sent, 76)
-    leading.publish_configuration()
+    local_coordinator = make_coordinator(sent, 76)
+    local_coordinator.publish_configuration()
     documents = [m for _, m in sent if isinstance(m, exchange.Document)]
     assert len(documents) == 3
     assert {host for host, m in sent if isinstance(m, exchange.Document)} == {
@@ -236,31 +236,33 @@
         "h2",
     }
     ping = exchange.Ping(sequence=1, incarnation=1, place="", epoch=1000)
-    assert leading._pick_configuration(ping) is None
+    assert local_coordinator._pick_configuration(ping) is None
 
 
 def test_a_member_that_misses_a_large_configuration_gets_it():
-    leading = make_coordinator([], 4)
+    local_coordinator = make_coordinator([], 4)
     ping = exchange.Ping(
         sequence=1, incarnation=1, place="", epoch=1000, wants_configuration=True
     )
-    assert leading._pick_configuration(ping) is not None
+    assert local_coordinator._pick_configuration(ping) is not None
 
 
 def test_only_holders_report_on_a_primary():
     """A restarted fleet tries all endpoints before it knows their holders."""
     failing = {"p": make_reach(3.0)}
-    leading = make_coordinator([], 8)
-    leading.local.gateway = types.SimpleNamespace(
+    local_coordinator = make_coordinator([], 8)
+    local_coordinator.local_member.gateway = types.SimpleNamespace(
         board=blackboard.GatewayBlackboard(place="a", region="r", regions={})
     )
-    for state in leading.ledger.members.values():
+    for state in local_coordinator.ledger.members.values():
         state.reach = failing
-    controller = change.ChangeController(coordinator=leading, recorder=None, duty=None)
+    controller = change.ChangeController(
+        coordinator=local_coordinator, recorder=None, promotion_client=None
+    )
     reaches = controller._collect_reaches(clocks.read_clock())
     reports, users = controller._collect_reports(["p"], reaches)
     assert (reports["p"].count(failing), users["p"]) == (8, 9)
-    leading.holders = {"p": [("h1", ""), ("c", "")]}
+    local_coordinator.holders = {"p": [("h1", ""), ("c", "")]}
     reports, users = controller._collect_reports(["p"], reaches)
     assert (reports["p"], users["p"]) == ([failing, {}], 2)
 
@@ -280,23 +282,23 @@
 
 def test_a_restarted_coordinator_chooses_the_same_holders_at_once():
     """Each other choice would leave connections that count against the limit."""
-    leading = make_coordinator([], 0)
+    local_coordinator = make_coordinator([], 0)
     serving = gateway.Gateway(
         board=blackboard.GatewayBlackboard(place="p0", region="r", regions={}),
-        endpoint_wire=None,
+        endpoint_codec=None,
     )
     serving.board.endpoints = {f"e{n}": make_endpoint(n) for n in range(3)}
     serving.board.configuration = catalog.Configuration(
         version=1, routes={}, connections={"db": 46}, limits=catalog.Limits()
     )
-    leading.local = types.SimpleNamespace(
+    local_coordinator.local_member = types.SimpleNamespace(
         gateway=serving,
         capacity=0.5,
-        documents=member.Documents(),
+        document_cache=member.DocumentCache(),
         apply_holders=lambda holders, version: None,
     )
     for number in range(76):
-        leading.add_member(
+        local_coordinator.add_member(
             assignments.MemberRecord(
                 host=f"h{number:02}",
                 address="",
@@ -305,11 +307,11 @@
                 capacity=2.0 if number >= 64 else 0.5,
             )
         )
-    leading.divide_connections()
-    chosen = dict(leading.chosen_holders)
+    local_coordinator.divide_connections()
+    chosen = dict(local_coordinator.chosen_holders)
     large = {host for hosts in chosen.values() for host in hosts}
     assert large <= {f"h{number}" for number in range(64, 76)}
-    for state in leading.ledger.members.values():
+    for state in local_coordinator.ledger.members.values():
         state.heard_at = clocks.read_clock()
-    leading.divide_connections()
-    assert leading.chosen_holders == chosen
+    local_coordinator.divide_connections()
+    assert local_coordinator.chosen_holders == chosen
--- a/hyssopshelf/gateway/execution.py
+++ b/hyssopshelf/gateway/execution.py
@@ -295,12 +295,12 @@
 
 def make_message(session, request, position):
     """Return the function that builds a client's statement for a connection."""
-    wire = session.gateway.endpoint_wire
+    codec = session.gateway.endpoint_codec
 
     def build(name: bytes) -> bytes:
         text = request.text
         if name:
-            text = wire.format_execute(name, request.statement)
-        return wire.format_request(request.id, text, position)
+            text = codec.format_execute(name, request.statement)
+        return codec.format_request(request.id, text, position)
 
     return build
--- a/hyssopshelf/gateway/forwarding.py
+++ b/hyssopshelf/gateway/forwarding.py
@@ -238,7 +238,7 @@
     def __init__(self, *, endpoint, forwarder) -> None:
         self.endpoint = endpoint
         self.forwarder = forwarder
-        self.wire = forwarder.gateway.endpoint_wire
+        self.codec = forwarder.gateway.endpoint_codec
 
     async def enter(self, rank, deadline, session, link=None, version: int = 0):
         """Choose a holder; the work waits there."""
--- a/hyssopshelf/gateway/gates.py
+++ b/hyssopshelf/gateway/gates.py
@@ -63,15 +63,15 @@
     ----------
     endpoint : Endpoint
         The endpoint.
-    wire : object
+    codec : object
         Codec of its protocol.
     view : PoolView
         Ranks, slots and connections in force.
     """
 
-    def __init__(self, *, endpoint, wire, view) -> None:
+    def __init__(self, *, endpoint, codec, view) -> None:
         self.endpoint = endpoint
-        self.wire = wire
+        self.codec = codec
         self.view = view
         self.queue = queues.EndpointQueue(endpoint=endpoint.id, pool=view.pool)
         self.idle: list[links.Link] = []
@@ -274,10 +274,10 @@
 
     async def _open_link(self) -> links.Link:
         self.handshakes += 1
-        marker = links.Link(endpoint=self.endpoint, wire=self.wire)
+        marker = links.Link(endpoint=self.endpoint, codec=self.codec)
         self.open_links.add(marker)
         try:
-            link = await links.open_link(self.endpoint, self.wire, OPEN_SECONDS)
+            link = await links.open_link(self.endpoint, self.codec, OPEN_SECONDS)
         except links.LinkError as error:
             if error.reason == exceptions.ErrorKind.FULL.value:
                 self.refused_until = clocks.read_clock() + REFUSED_PAUSE_SECONDS
--- a/hyssopshelf/gateway/gateway.py
+++ b/hyssopshelf/gateway/gateway.py
@@ -23,13 +23,13 @@
     ----------
     board : GatewayBlackboard
         State that controllers share.
-    endpoint_wire : object
+    endpoint_codec : object
         Codec of the endpoints' protocol.
     """
 
-    def __init__(self, *, board: blackboard.GatewayBlackboard, endpoint_wire) -> None:
+    def __init__(self, *, board: blackboard.GatewayBlackboard, endpoint_codec) -> None:
         self.board = board
-        self.endpoint_wire = endpoint_wire
+        self.endpoint_codec = endpoint_codec
         self.metrics = metrics.Metrics()
         self.hedges = hedging.HedgeBudget()
         self.gates: dict[str, gates.Gate] = {}
@@ -58,7 +58,7 @@
         if gate is None:
             gate = gates.Gate(
                 endpoint=endpoint,
-                wire=self.endpoint_wire,
+                codec=self.endpoint_codec,
                 view=self._make_view(endpoint),
             )
             self.gates[endpoint.id] = gate
--- a/hyssopshelf/gateway/links.py
+++ b/hyssopshelf/gateway/links.py
@@ -59,7 +59,7 @@
     ----------
     endpoint : Endpoint
         The endpoint at the other end.
-    wire : object
+    codec : object
         Codec of the endpoint's protocol.
 
     Attributes
@@ -72,9 +72,9 @@
         Whether this node holds the connection itself.
     """
 
-    def __init__(self, *, endpoint, wire) -> None:
+    def __init__(self, *, endpoint, codec) -> None:
         self.endpoint = endpoint
-        self.wire = wire
+        self.codec = codec
         self.state = states.ConnectionState()
         self.used_at = clocks.read_clock()
         self.closed = False
@@ -95,7 +95,7 @@
         """Collect replies; the exchange ends with the last expected one."""
         lines = (self._buffer + data).split(b"\r\n")
         self._buffer = lines.pop()
-        if len(self._buffer) > self.wire.maximum_bytes:
+        if len(self._buffer) > self.codec.maximum_bytes:
             self._fail("message is too long")
             return
         try:
@@ -134,13 +134,13 @@
         LinkError
             If the connection ended or did not answer in time; it is closed.
         """
-        wire = self.wire
+        codec = self.codec
         correction = states.correct(self.state, state, shape)
         parts = []
         if correction.reset:
-            parts.append(wire.format_reset())
-        parts += [wire.format_value(name, value) for name, value in correction.values]
-        parts += [wire.format_prepare(name, text) for name, text in correction.prepare]
+            parts.append(codec.format_reset())
+        parts += [codec.format_value(name, value) for name, value in correction.values]
+        parts += [codec.format_prepare(name, text) for name, text in correction.prepare]
         name = self.state.prepared.get(shape, b"") if shape is not None else b""
         parts.append(make_message(name))
         try:
@@ -165,7 +165,7 @@
     def _receive(self, line: bytes) -> None:
         if self._waiter is None:
             raise exceptions.CodecError(f"unexpected message {line[:40]!r}")
-        if self.wire.feed(self._reply, line):
+        if self.codec.feed(self._reply, line):
             self._replies.append(self._reply)
             self._reply = statements.Reply()
             if len(self._replies) == self._expected:
@@ -187,7 +187,7 @@
         self._waiter = None
 
 
-async def open_link(endpoint, wire, seconds: float) -> Link:
+async def open_link(endpoint, codec, seconds: float) -> Link:
     """Connect to an endpoint and start a session there.
 
     Raises
@@ -197,11 +197,11 @@
     """
     host, _, port = endpoint.address.rpartition(":")
     loop = asyncio.get_running_loop()
-    link = Link(endpoint=endpoint, wire=wire)
+    link = Link(endpoint=endpoint, codec=codec)
     try:
         async with asyncio.timeout(seconds):
             await loop.create_connection(lambda: link, host, int(port))
-            await link.exchange(wire.format_start(endpoint.database, endpoint.id), 1)
+            await link.exchange(codec.format_start(endpoint.database, endpoint.id), 1)
     except TimeoutError as error:
         link.close()
         raise LinkError("no answer to the start") from error
--- a/hyssopshelf/gateway/probes.py
+++ b/hyssopshelf/gateway/probes.py
@@ -109,10 +109,10 @@
     deadline = clocks.read_clock() + seconds
     link = gate.claim_idle()
     if link is None:
-        link = await links.open_link(endpoint, gateway.endpoint_wire, seconds)
+        link = await links.open_link(endpoint, gateway.endpoint_codec, seconds)
         gate.adopt_link(link)
     if message is None:
-        message = gateway.endpoint_wire.format_reset()
+        message = gateway.endpoint_codec.format_reset()
         link.state.values.clear()
         link.state.prepared.clear()
     try:
--- a/hyssopshelf/gateway/server.py
+++ b/hyssopshelf/gateway/server.py
@@ -25,15 +25,15 @@
     ----------
     gateway : Gateway
         Where statements run.
-    wire : object
+    codec : object
         Codec of the clients' protocol.
     limit : int
         Bytes that all clients may have sent and not read together.
     """
 
-    def __init__(self, *, gateway, wire, limit: int) -> None:
+    def __init__(self, *, gateway, codec, limit: int) -> None:
         self.gateway = gateway
-        self.wire = wire
+        self.codec = codec
         self.budget = memory.ByteBudget(limit=limit)
         self.connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
@@ -119,7 +119,7 @@
             return
         lines = (self._buffer + data).split(b"\r\n")
         self._buffer = lines.pop()
-        if len(self._buffer) > self.server.wire.maximum_bytes:
+        if len(self._buffer) > self.server.codec.maximum_bytes:
             self._log_refusal("message is too long")
             self.close()
             return
@@ -189,11 +189,11 @@
                 self.session.close()
 
     def _start(self, line: bytes) -> None:
-        wire = self.server.wire
-        name = wire.parse_start(line)
+        codec = self.server.codec
+        name = codec.parse_start(line)
         if name is None:
             self._log_refusal("no start of a session")
-            self._send(wire.format_refusal(_KIND.BAD_REQUEST, b"START expected"))
+            self._send(codec.format_refusal(_KIND.BAD_REQUEST, b"START expected"))
             self.close()
             return
         text = name.decode(errors="replace")
@@ -204,16 +204,16 @@
                 logs.LogEvent.SESSION_REFUSED,
                 {"name": text, "version": current.version if current else 0},
             )
-            self._send(wire.format_refusal(kind, name))
+            self._send(codec.format_refusal(kind, name))
             self.close()
             return
         self.session = sessions.Session(gateway=self.server.gateway, name=text)
-        self._send(wire.format_ready("I"))
+        self._send(codec.format_ready("I"))
 
     async def _serve(self, line: bytes) -> None:
-        wire = self.server.wire
+        codec = self.server.codec
         session = self.session
-        request = wire.parse_request(line)
+        request = codec.parse_request(line)
         if request is None:
             self.close()
             return
@@ -227,7 +227,7 @@
             )
             session.close()
             reply = execution.fail(_KIND.INTERNAL, "internal error")
-        self._send(wire.format_reply(reply, session.status))
+        self._send(codec.format_reply(reply, session.status))
         self._log(request, reply, session, clocks.read_clock() - started)
         if reply.error is _KIND.NOT_FOUND:
             self.close()
--- a/hyssopshelf/gateway/sessions.py
+++ b/hyssopshelf/gateway/sessions.py
@@ -102,7 +102,7 @@
         return
     try:
         async with asyncio.timeout(ROLLBACK_SECONDS):
-            replies = await link.exchange(gate.wire.format_rollback(), 1)
+            replies = await link.exchange(gate.codec.format_rollback(), 1)
     except (TimeoutError, links.LinkError) as error:
         logs.write_request(
             logs.LogEvent.CONNECTION_DISCARDED,
--- a/hyssopshelf/gateway/tests/test_isolation.py
+++ b/hyssopshelf/gateway/tests/test_isolation.py
@@ -47,7 +47,7 @@
             connections={"db": 4},
             limits=catalog.Limits(),
         )
-        serving = gateway.Gateway(board=board, endpoint_wire=None)
+        serving = gateway.Gateway(board=board, endpoint_codec=None)
         session = sessions.Session(gateway=serving, name="db")
         request = statements.Request(
             id=b"1", text=b"WRITE a b", statement=statements.Access(writes=True)
--- a/hyssopshelf/gateway/tests/test_memory.py
+++ b/hyssopshelf/gateway/tests/test_memory.py
@@ -36,7 +36,7 @@
     close = abort
 
 
-class FakeWire:
+class FakeCodec:
     """Accepts messages of at most 1 MiB."""
 
     maximum_bytes = 1024 * 1024
@@ -72,8 +72,8 @@
     async def scenario():
         board = blackboard.GatewayBlackboard(place="a", region="r", regions={"a": "r"})
         listener = server.ClientServer(
-            gateway=gateway.Gateway(board=board, endpoint_wire=None),
-            wire=FakeWire(),
+            gateway=gateway.Gateway(board=board, endpoint_codec=None),
+            codec=FakeCodec(),
             limit=LIMIT_BYTES,
         )
         usual = [connect(listener) for _ in range(200)]
--- a/hyssopshelf/gateway/tests/test_searches.py
+++ b/hyssopshelf/gateway/tests/test_searches.py
@@ -22,7 +22,7 @@
 """Time for a statement on the site with the shortest timeouts."""
 
 
-class FakeWire:
+class FakeCodec:
     """Formats messages that the fake links ignore."""
 
     def format_request(self, *_) -> bytes:
@@ -69,7 +69,7 @@
         self.behaviours = behaviours
         self.opened: list[str] = []
 
-    async def open_link(self, endpoint, wire, seconds):
+    async def open_link(self, endpoint, codec, seconds):
         self.opened.append(endpoint.id)
         behaviour = self.behaviours[endpoint.id]
         if isinstance(behaviour, str) and behaviour != "reset":
@@ -106,7 +106,7 @@
             leads=name == "one",
             started=1,
         )
-    serving = gateway.Gateway(board=board, endpoint_wire=FakeWire())
+    serving = gateway.Gateway(board=board, endpoint_codec=FakeCodec())
     serving.apply_shares({"one": 4, "two": 4})
     return serving
 
--- a/hyssopshelf/gateway/transactions.py
+++ b/hyssopshelf/gateway/transactions.py
@@ -142,7 +142,7 @@
 async def _begin(session, transaction: Transaction, entered, deadline: float):
     gateway = session.gateway
     gate, link = entered.gate, entered.turn.link
-    message = gateway.endpoint_wire.format_begin(
+    message = gateway.endpoint_codec.format_begin(
         transaction.read_only, entered.candidate.position
     )
     usable = False
