--- a/hyssopshelf/authority/change.py
+++ b/hyssopshelf/authority/change.py
@@ -11,7 +11,7 @@
 
 from hyssopshelf import clocks, exceptions, logs
 from hyssopshelf.authority import assignments, exchange, member, suspicion, timing
-from hyssopshelf.gateway import links, probes
+from hyssopshelf.gateway import endpoint_connections, probes
 
 CHECK_SECONDS = 0.1
 """Time between two looks at the primaries, in seconds."""
@@ -446,7 +446,7 @@
             await probes.send_unqueued(
                 self.gateway, endpoint, codec.format_demote(term), STATUS_SECONDS
             )
-        except links.LinkError as error:
+        except endpoint_connections.EndpointConnectionError as error:
             logs.write(
                 logs.LogEvent.FOLLOW_ORDERED,
                 {"endpoint": endpoint.id, "term": term, "outcome": error.reason},
@@ -469,7 +469,7 @@
             reply = await probes.send_unqueued(
                 self.gateway, endpoint, codec.format_status(), STATUS_SECONDS
             )
-        except links.LinkError as error:
+        except endpoint_connections.EndpointConnectionError as error:
             self._log_no_status(endpoint, error.reason)
             return None
         if reply.error is not None or not reply.rows:
--- /dev/null
+++ b/hyssopshelf/gateway/autocommit.py
@@ -0,0 +1,203 @@
+"""Single statements outside a transaction."""
+
+import asyncio
+
+from hyssopshelf import clocks, exceptions
+from hyssopshelf.gateway import (
+    endpoint_connections,
+    execution,
+    hedging,
+    statements,
+)
+
+_KIND = exceptions.ErrorKind
+
+
+async def run(session, request, writes: bool, shape) -> statements.Reply:
+    """Run one statement, at other endpoints again while that is safe.
+
+    A read may run twice; a write is offered again only if it did not run.
+    """
+    route = session.find_route()
+    if route is None:
+        return execution.make_error(_KIND.NOT_FOUND, session.name)
+    deadline = clocks.read_clock() + route.statement_seconds
+    if writes:
+        return await _run_write(session, request, shape, route, deadline)
+    return await _run_read(session, request, shape, route, deadline)
+
+
+async def _run_write(session, request, shape, route, deadline: float):
+    retry = execution.make_retry_state(route, reads=False)
+    reply = execution.make_error(_KIND.UNAVAILABLE)
+    for _ in range(execution.MAXIMUM_ATTEMPTS):
+        reservation = await execution.reserve(session, route, deadline, retry)
+        if isinstance(reservation, statements.Reply):
+            return reservation if reply.error is _KIND.UNAVAILABLE else reply
+        reply = await _attempt(session, request, True, shape, reservation, deadline)
+        now = clocks.read_clock()
+        if reply.error not in execution.NOT_RUN or now >= deadline:
+            return reply
+        if reply.error is not _KIND.UNPREPARED:
+            endpoint = reservation.pool.endpoint.id
+            retry.record_failure(endpoint, reservation.version, reply.error, now)
+    return reply
+
+
+async def _run_read(session, request, shape, route, deadline: float):
+    """Offer a read until one endpoint answers it."""
+    gateway = session.gateway
+    gateway.hedges.deposit()
+    retry = execution.make_retry_state(route, reads=True)
+    attempts: set[asyncio.Task] = set()
+    reply = execution.make_error(_KIND.UNAVAILABLE)
+    for _ in range(execution.MAXIMUM_ATTEMPTS):
+        reservation = await _reserve_or_answer(
+            session, route, deadline, retry, attempts
+        )
+        if isinstance(reservation, statements.Reply):
+            if reservation.error is None or reply.error is _KIND.UNAVAILABLE:
+                reply = reservation
+            break
+        endpoint = reservation.pool.endpoint.id
+        attempt = asyncio.get_running_loop().create_task(
+            _attempt(session, request, False, shape, reservation, deadline)
+        )
+        attempts.add(attempt)
+        hedge_delay = hedging.find_hedge_delay(
+            gateway.board.get_health(endpoint).latency
+        )
+        answer, late = await _wait(gateway, attempts, deadline, hedge_delay)
+        if answer is not None and answer.error is None:
+            return answer
+        if answer is not None:
+            reply = answer
+        now = clocks.read_clock()
+        if now >= deadline:
+            return reply
+        repeatable = late and retry.needs_primary
+        if not repeatable and reply.error is not _KIND.UNPREPARED:
+            retry.record_failure(endpoint, reservation.version, reply.error, now)
+    if attempts and reply.error is not None:
+        answer, _ = await _wait(gateway, attempts, deadline, None)
+        return answer if answer is not None else reply
+    return reply
+
+
+async def _reserve_or_answer(session, route, deadline: float, retry, attempts: set):
+    """Wait for a way to an endpoint or for a success of an open attempt.
+
+    Returns
+    -------
+    Reservation or Reply
+        The way to the endpoint; the answer that made it needless, or a failure if
+        there is no way.
+    """
+    work = execution.reserve(session, route, deadline, retry)
+    if not attempts:
+        return await work
+    reserving = asyncio.get_running_loop().create_task(work)
+    while not reserving.done():
+        done, _ = await asyncio.wait(
+            {reserving, *attempts}, return_when=asyncio.FIRST_COMPLETED
+        )
+        for attempt in done & attempts:
+            attempts.discard(attempt)
+            reply = attempt.result()
+            if reply.error is None:
+                await _cancel_reservation(reserving)
+                return reply
+    return reserving.result()
+
+
+async def _cancel_reservation(reserving: asyncio.Task) -> None:
+    """Give up the way to an endpoint."""
+    reserving.cancel()
+    await asyncio.wait({reserving})
+    if reserving.cancelled():
+        return
+    reservation = reserving.result()
+    if isinstance(reservation, execution.Reservation):
+        reservation.release()
+
+
+async def _wait(gateway, attempts: set, deadline: float, hedge_delay: float | None):
+    """Wait for an answer to one of the attempts.
+
+    Returns
+    -------
+    reply : Reply or None
+        The first success, else the last failure.
+    late : bool
+        Whether an attempt is still open and a hedge may be made.
+    """
+    reply = None
+    while attempts:
+        remaining = max(0.0, deadline - clocks.read_clock())
+        seconds = remaining if hedge_delay is None else min(remaining, hedge_delay)
+        done, _ = await asyncio.wait(
+            attempts, timeout=seconds, return_when=asyncio.FIRST_COMPLETED
+        )
+        if not done:
+            if hedge_delay is None or remaining <= seconds:
+                return reply, False
+            if gateway.hedges.try_withdraw():
+                return reply, True
+            hedge_delay = None
+            continue
+        for attempt in done:
+            attempts.discard(attempt)
+            reply = attempt.result()
+            if reply.error is None:
+                return reply, False
+        if hedge_delay is not None:
+            return reply, False
+    return reply, False
+
+
+async def _attempt(session, request, writes, shape, reservation, deadline):
+    """Send the statement to one endpoint and return its reply."""
+    gateway = session.gateway
+    pool, connection = reservation.pool, reservation.checkout.connection
+    database = pool.endpoint.database
+    sent_at = clocks.read_clock()
+    build_message = execution.make_message_builder(
+        session, request, reservation.candidate.position
+    )
+    usable = False
+    if writes:
+        gateway.start_write(database, reservation.version)
+    try:
+        reply = await execution.exchange(
+            gateway, pool, connection, session.state, shape, build_message, deadline
+        )
+        usable = reply.error is not _KIND.UNPREPARED
+    except endpoint_connections.EndpointConnectionError as error:
+        session.trace.add(pool.endpoint.id, error.reason)
+        if not error.sent:
+            return execution.make_error(_KIND.UNAVAILABLE, error.reason)
+        kind = _KIND.OUTCOME_UNKNOWN if writes else _KIND.DEADLINE_PASSED
+        return execution.make_error(kind, error.reason)
+    finally:
+        if writes:
+            gateway.end_write(database, reservation.version)
+        if usable:
+            pool.release_connection(connection)
+        else:
+            pool.discard_connection(connection)
+        pool.release_slot(reservation.checkout)
+    execution.record_freshness(gateway, reservation, reply)
+    if reply.error is not None:
+        session.trace.add(
+            pool.endpoint.id,
+            execution.describe_error(reply, reservation.candidate.position),
+        )
+        return reply
+    session.trace.endpoint = pool.endpoint.id
+    if reservation.candidate.primary:
+        execution.record_observation(gateway, pool, reservation.version, reply, sent_at)
+    if writes:
+        return execution.acknowledge_write(
+            session, pool.endpoint, reservation.version, reply
+        )
+    return reply
--- a/hyssopshelf/gateway/gates.py
+++ b/hyssopshelf/gateway/connection_pools.py
@@ -6,7 +6,7 @@
 import attrs
 
 from hyssopshelf import clocks, exceptions
-from hyssopshelf.gateway import catalog, links, states
+from hyssopshelf.gateway import catalog, endpoint_connections, session_state
 from hyssopshelf.scheduling import queues, work
 
 OPEN_SECONDS = 0.5
@@ -49,14 +49,14 @@
 
 
 @attrs.define(kw_only=True)
-class Turn:
+class Checkout:
     """A slot of an endpoint, with the connection that uses it."""
 
     work_id: str
-    link: links.Link | None
+    connection: endpoint_connections.EndpointConnection | None
 
 
-class Gate:
+class ConnectionPool:
     """Queue, slots and connections of one endpoint at this node.
 
     Parameters
@@ -74,8 +74,8 @@
         self.codec = codec
         self.view = view
         self.queue = queues.EndpointQueue(endpoint=endpoint.id, pool=view.pool)
-        self.idle: list[links.Link] = []
-        self.open_links: set[links.Link] = set()
+        self.idle: list[endpoint_connections.EndpointConnection] = []
+        self.open_connections: set[endpoint_connections.EndpointConnection] = set()
         self.opening = 0
         self.refused_until = 0.0
         self.handshakes = 0
@@ -93,30 +93,30 @@
 
     def measure_demand(self, *, reset: bool) -> int:
         """Return the peak of connections in use and wanted."""
-        usable = sum(1 for link in self.idle if not link.closed)
-        current = len(self.open_links) - usable + self.queue.waiting
+        usable = sum(1 for connection in self.idle if not connection.closed)
+        current = len(self.open_connections) - usable + self.queue.waiting
         peak = max(self.peak, current)
         if reset:
             self.peak = current
         return peak
 
-    async def enter(
+    async def acquire(
         self,
         rank: int,
         deadline: float,
-        session: states.SessionState,
-        link: links.Link | None = None,
+        session: session_state.SessionState,
+        connection: endpoint_connections.EndpointConnection | None = None,
         version: int = 0,
-    ) -> Turn:
+    ) -> Checkout:
         """Wait for a slot and a connection.
 
-        ``version`` is for gates of other hosts' connections; the caller checks it.
+        ``version`` is for pools of other hosts' connections; the caller checks it.
 
         Raises
         ------
         RefusalError
             If the work cannot start in time.
-        LinkError
+        EndpointConnectionError
             If no connection could be opened.
         """
         now = clocks.read_clock()
@@ -126,9 +126,9 @@
             rank=catalog.name_rank(rank),
             deadline=deadline,
             enqueued_at=now,
-            in_transaction=link is not None,
+            in_transaction=connection is not None,
         )
-        held = len(self.open_links)
+        held = len(self.open_connections)
         admitted = self.queue.admit(item, self.view, now, held=held)
         if admitted.is_err():
             raise RefusalError(exceptions.ErrorKind.REFUSED, admitted.err_value.reason)
@@ -136,67 +136,73 @@
             self._refuse(shed, "shed for other work")
         waiter = asyncio.get_running_loop().create_future()
         self._waiters[item.id] = waiter
-        busy = len(self.open_links) - len(self.idle) + self.queue.waiting
+        busy = len(self.open_connections) - len(self.idle) + self.queue.waiting
         self.peak = max(self.peak, busy)
-        self.pump()
+        self.start_waiting()
         if not waiter.done():
             self._schedule_expiry()
         try:
             await waiter
         except asyncio.CancelledError:
             if _is_started(waiter):
-                if link is None:
+                if connection is None:
                     self.opening -= 1
-                self.leave(Turn(work_id=item.id, link=None))
+                self.release_slot(Checkout(work_id=item.id, connection=None))
             else:
                 self.queue.discard(item.id)
             raise
         finally:
             self._waiters.pop(item.id, None)
-        turn = Turn(work_id=item.id, link=link)
-        if link is None:
+        checkout = Checkout(work_id=item.id, connection=connection)
+        if connection is None:
             try:
-                turn.link = await self._find_link(session)
+                checkout.connection = await self._take_connection(session)
             except BaseException:
-                self.leave(turn)
+                self.release_slot(checkout)
                 raise
-        return turn
+        return checkout
 
-    def leave(self, turn: Turn) -> None:
+    def release_slot(self, checkout: Checkout) -> None:
         """Give the slot back."""
-        self.queue.finish(turn.work_id, clocks.read_clock())
-        self.pump()
+        self.queue.finish(checkout.work_id, clocks.read_clock())
+        self.start_waiting()
 
-    def claim_idle(self) -> links.Link | None:
+    def take_idle(self) -> endpoint_connections.EndpointConnection | None:
         """Return an idle connection, None without one."""
         while self.idle:
-            link = self.idle.pop()
-            if not link.closed:
-                return link
-            self.open_links.discard(link)
+            connection = self.idle.pop()
+            if not connection.closed:
+                return connection
+            self.open_connections.discard(connection)
         return None
 
-    def adopt_link(self, link: links.Link) -> None:
+    def add_connection(
+        self, connection: endpoint_connections.EndpointConnection
+    ) -> None:
         """Count a connection that was opened outside the queue."""
-        self.open_links.add(link)
+        self.open_connections.add(connection)
 
-    def release_link(self, link: links.Link) -> None:
+    def release_connection(
+        self, connection: endpoint_connections.EndpointConnection
+    ) -> None:
         """Give a connection back to the pool."""
-        if link.closed or self.closed or self.endpoint.leaving:
-            self.discard_link(link)
+        if connection.closed or self.closed or self.endpoint.leaving:
+            self.discard_connection(connection)
             return
-        self.idle.append(link)
-        self.pump()
+        self.idle.append(connection)
+        self.start_waiting()
 
-    def discard_link(self, link: links.Link) -> None:
+    def discard_connection(
+        self, connection: endpoint_connections.EndpointConnection
+    ) -> None:
         """Close a connection and forget it."""
-        link.close()
-        self.open_links.discard(link)
-        if link in self.idle:
-            self.idle.remove(link)
-        self.pump()
+        connection.close()
+        self.open_connections.discard(connection)
+        if connection in self.idle:
+            self.idle.remove(connection)
+        self.start_waiting()
 
-    def pump(self) -> None:
+    def start_waiting(self) -> None:
         """Start waiting work while slots and connections are free."""
         now = clocks.read_clock()
         while True:
@@ -219,13 +225,13 @@
 
     def close_idle(self, kept: int, before: float) -> None:
         """Close unused connections beyond a number."""
-        self.idle = [link for link in self.idle if not link.closed]
-        for link in list(self.idle):
-            if len(self.open_links) <= kept or link.used_at > before:
+        self.idle = [connection for connection in self.idle if not connection.closed]
+        for connection in list(self.idle):
+            if len(self.open_connections) <= kept or connection.used_at > before:
                 continue
-            self.discard_link(link)
+            self.discard_connection(connection)
 
-    def shut(self) -> None:
+    def close(self) -> None:
         """Refuse waiting work and close unused connections."""
         self.closed = True
         for item_id, waiter in list(self._waiters.items()):
@@ -233,8 +239,8 @@
                 waiter.set_exception(
                     RefusalError(exceptions.ErrorKind.UNAVAILABLE, "endpoint is gone")
                 )
-        for link in list(self.idle):
-            self.discard_link(link)
+        for connection in list(self.idle):
+            self.discard_connection(connection)
 
     def _count_room(self, now: float) -> int:
         """Return for how many new work items there is a connection.
@@ -242,13 +248,15 @@
         ``opening`` counts work that was started and has not taken its connection
         yet, out of the idle ones or a new one.
         """
-        idle = sum(1 for link in self.idle if not link.closed)
+        idle = sum(1 for connection in self.idle if not connection.closed)
         new = 0
         if now >= self.refused_until:
-            new = max(0, self.view.connections - len(self.open_links))
+            new = max(0, self.view.connections - len(self.open_connections))
         return idle + new - self.opening
 
-    async def _find_link(self, session: states.SessionState) -> links.Link:
+    async def _take_connection(
+        self, session: session_state.SessionState
+    ) -> endpoint_connections.EndpointConnection:
         """Return the idle connection that fits best, or a new one.
 
         The caller has reserved it by ``opening``.
@@ -257,35 +265,39 @@
             best = None
             best_cost = 0
             # The last used ones first, so that a surplus stays unused and is closed.
-            for link in reversed(self.idle):
-                if link.closed:
+            for connection in reversed(self.idle):
+                if connection.closed:
                     continue
-                cost = states.estimate_cost(link.state, session)
+                cost = session_state.estimate_cost(connection.state, session)
                 if best is None or cost < best_cost:
-                    best, best_cost = link, cost
+                    best, best_cost = connection, cost
                     if cost == 0:
                         break
             if best is not None:
                 self.idle.remove(best)
                 return best
-            return await self._open_link()
+            return await self._open_connection()
         finally:
             self.opening -= 1
 
-    async def _open_link(self) -> links.Link:
+    async def _open_connection(self) -> endpoint_connections.EndpointConnection:
         self.handshakes += 1
-        marker = links.Link(endpoint=self.endpoint, codec=self.codec)
-        self.open_links.add(marker)
+        marker = endpoint_connections.EndpointConnection(
+            endpoint=self.endpoint, codec=self.codec
+        )
+        self.open_connections.add(marker)
         try:
-            link = await links.open_link(self.endpoint, self.codec, OPEN_SECONDS)
-        except links.LinkError as error:
+            connection = await endpoint_connections.open_connection(
+                self.endpoint, self.codec, OPEN_SECONDS
+            )
+        except endpoint_connections.EndpointConnectionError as error:
             if error.reason == exceptions.ErrorKind.FULL.value:
                 self.refused_until = clocks.read_clock() + REFUSED_PAUSE_SECONDS
             raise
         finally:
-            self.open_links.discard(marker)
-        self.open_links.add(link)
-        return link
+            self.open_connections.discard(marker)
+        self.open_connections.add(connection)
+        return connection
 
     def _refuse(self, item: work.Work, reason: str) -> None:
         waiter = self._waiters.get(item.id)
@@ -301,7 +313,7 @@
         self._expiry = None
         for item in self.queue.expire(clocks.read_clock()):
             self._refuse(item, "cannot start before its deadline")
-        self.pump()
+        self.start_waiting()
         if self.queue.waiting:
             self._schedule_expiry()
 
--- a/hyssopshelf/gateway/links.py
+++ b/hyssopshelf/gateway/endpoint_connections.py
@@ -4,7 +4,7 @@
 import socket
 
 from hyssopshelf import clocks, exceptions
-from hyssopshelf.gateway import statements, states
+from hyssopshelf.gateway import session_state, statements
 
 UNACKNOWLEDGED_MILLISECONDS = 2000
 """Time after which the system gives up a connection whose peer acknowledges
@@ -30,7 +30,7 @@
     )
 
 
-class LinkError(Exception):
+class EndpointConnectionError(Exception):
     """A connection ended before all replies had arrived.
 
     Parameters
@@ -39,20 +39,20 @@
         What was observed.
     sent : bool
         Whether the message may have reached the endpoint.
-    witnessed : bool
+    endpoint_fault : bool
         Whether it tells about the endpoint, not about a host on the way.
     """
 
     def __init__(
-        self, reason: str, *, sent: bool = True, witnessed: bool = True
+        self, reason: str, *, sent: bool = True, endpoint_fault: bool = True
     ) -> None:
         super().__init__(reason)
         self.reason = reason
         self.sent = sent
-        self.witnessed = witnessed
+        self.endpoint_fault = endpoint_fault
 
 
-class Link(asyncio.Protocol):
+class EndpointConnection(asyncio.Protocol):
     """A connection that carries one exchange at a time.
 
     Parameters
@@ -75,7 +75,7 @@
     def __init__(self, *, endpoint, codec) -> None:
         self.endpoint = endpoint
         self.codec = codec
-        self.state = states.ConnectionState()
+        self.state = session_state.ConnectionState()
         self.used_at = clocks.read_clock()
         self.closed = False
         self.direct = True
@@ -111,12 +111,12 @@
     def exchange(self, data: bytes, replies: int) -> asyncio.Future:
         """Send messages; the future holds their replies in order.
 
-        The future fails with LinkError if the connection ends first.
+        The future fails with EndpointConnectionError if the connection ends first.
         """
         waiter = asyncio.get_running_loop().create_future()
         self.used_at = clocks.read_clock()
         if self.closed:
-            waiter.set_exception(LinkError("already closed"))
+            waiter.set_exception(EndpointConnectionError("already closed"))
             return waiter
         self._waiter = waiter
         self._expected = replies
@@ -125,37 +125,43 @@
         return waiter
 
     async def run(
-        self, state: states.SessionState, shape, make_message, deadline: float
+        self, state: session_state.SessionState, shape, build_message, deadline: float
     ) -> statements.Reply:
         """Correct the session state, send one message and return its reply.
 
         Raises
         ------
-        LinkError
+        EndpointConnectionError
             If the connection ended or did not answer in time; it is closed.
         """
         codec = self.codec
-        correction = states.correct(self.state, state, shape)
+        session_setup = session_state.synchronize(self.state, state, shape)
         parts = []
-        if correction.reset:
+        if session_setup.reset:
             parts.append(codec.format_reset())
-        parts += [codec.format_value(name, value) for name, value in correction.values]
-        parts += [codec.format_prepare(name, text) for name, text in correction.prepare]
+        parts += [
+            codec.format_value(name, value) for name, value in session_setup.values
+        ]
+        parts += [
+            codec.format_prepare(name, text) for name, text in session_setup.prepare
+        ]
         name = self.state.prepared.get(shape, b"") if shape is not None else b""
-        parts.append(make_message(name))
+        parts.append(build_message(name))
         try:
             async with asyncio.timeout(max(0.0, deadline - clocks.read_clock())):
                 replies = await self.exchange(b"".join(parts), len(parts))
         except TimeoutError as error:
             self.close()
-            raise LinkError("no answer in time") from error
+            raise EndpointConnectionError("no answer in time") from error
         except asyncio.CancelledError:
             self.close()
             raise
         for setup in replies[:-1]:
             if setup.error is not None:
                 self.close()
-                raise LinkError(f"session state refused: {setup.error.value}")
+                raise EndpointConnectionError(
+                    f"session state refused: {setup.error.value}"
+                )
         return replies[-1]
 
     def close(self) -> None:
@@ -183,31 +189,33 @@
         if self._transport is not None:
             self._transport.close()
         if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_exception(LinkError(reason))
+            self._waiter.set_exception(EndpointConnectionError(reason))
         self._waiter = None
 
 
-async def open_link(endpoint, codec, seconds: float) -> Link:
+async def open_connection(endpoint, codec, seconds: float) -> EndpointConnection:
     """Connect to an endpoint and start a session there.
 
     Raises
     ------
-    LinkError
+    EndpointConnectionError
         If the endpoint refuses or does not answer in time.
     """
     host, _, port = endpoint.address.rpartition(":")
     loop = asyncio.get_running_loop()
-    link = Link(endpoint=endpoint, codec=codec)
+    connection = EndpointConnection(endpoint=endpoint, codec=codec)
     try:
         async with asyncio.timeout(seconds):
-            await loop.create_connection(lambda: link, host, int(port))
-            await link.exchange(codec.format_start(endpoint.database, endpoint.id), 1)
+            await loop.create_connection(lambda: connection, host, int(port))
+            await connection.exchange(
+                codec.format_start(endpoint.database, endpoint.id), 1
+            )
     except TimeoutError as error:
-        link.close()
-        raise LinkError("no answer to the start") from error
+        connection.close()
+        raise EndpointConnectionError("no answer to the start") from error
     except OSError as error:
-        raise LinkError(repr(error)) from error
+        raise EndpointConnectionError(repr(error)) from error
     except asyncio.CancelledError:
-        link.close()
+        connection.close()
         raise
-    return link
+    return connection
--- a/hyssopshelf/gateway/execution.py
+++ b/hyssopshelf/gateway/execution.py
@@ -5,19 +5,19 @@
 from hyssopshelf import clocks, exceptions
 from hyssopshelf.gateway import (
     catalog,
+    connection_pools,
+    endpoint_connections,
     endpoint_health,
-    gates,
-    links,
+    retries,
     routing,
-    searches,
+    session_state,
     statements,
-    states,
 )
 
 MAXIMUM_ATTEMPTS = 6
 """Endpoints that a statement is offered to at most; a database has three."""
 
-PATIENCE_SHARE = 0.9
+PRIMARY_WAIT_SHARE = 0.9
 """Part of the statement's time for which it waits for a primary."""
 
 _KIND = exceptions.ErrorKind
@@ -33,7 +33,7 @@
         _KIND.UNAVAILABLE,
     }
 )
-"""Outcomes of an offer that did not run the statement."""
+"""Outcomes of an attempt that did not run the statement."""
 
 
 FULL_REASON = _KIND.FULL.value
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Entered:
+class Reservation:
     """A slot and a connection at an endpoint.
 
     Attributes
@@ -50,25 +50,25 @@
         Version of the belief in the primary, 0 at a replica.
     """
 
-    gate: gates.Gate
-    turn: gates.Turn
+    pool: connection_pools.ConnectionPool
+    checkout: connection_pools.Checkout
     candidate: routing.Candidate
     version: int
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Give slot and connection back unused."""
-        self.gate.release_link(self.turn.link)
-        self.gate.leave(self.turn)
+        self.pool.release_connection(self.checkout.connection)
+        self.pool.release_slot(self.checkout)
 
 
 @attrs.define(kw_only=True)
-class Trail:
+class RequestTrace:
     """What happened to a request, for the log.
 
     Attributes
     ----------
     steps : list of str
-        One entry for each offer: endpoint and outcome.
+        One entry for each attempt: endpoint and outcome.
     """
 
     steps: list[str] = attrs.field(factory=list)
@@ -76,28 +76,30 @@
     queued: float = 0.0
 
     def add(self, endpoint: str, outcome: str) -> None:
-        """Add the outcome of an offer."""
+        """Add the outcome of an attempt."""
         self.steps.append(f"{endpoint}:{outcome}")
 
 
-def start_search(route: catalog.Route, *, reads: bool) -> searches.Search:
-    """Return the search for an endpoint of a unit of work.
+def make_retry_state(route: catalog.Route, *, reads: bool) -> retries.RetryState:
+    """Return the retry state of a unit of work.
 
     Parameters
     ----------
     reads : bool
         Whether the work only reads.
     """
-    return searches.Search(
+    return retries.RetryState(
         needs_primary=not reads or route.read_rule == catalog.ReadRule.PRIMARY
     )
 
 
-def record_freshness(gateway, entered: Entered, reply: statements.Reply) -> None:
+def record_freshness(
+    gateway, reservation: Reservation, reply: statements.Reply
+) -> None:
     """Note whether a replica held the position that a read needed."""
-    if entered.candidate.position is None:
+    if reservation.candidate.position is None:
         return
-    health = gateway.board.get_health(entered.candidate.endpoint.id)
+    health = gateway.board.get_health(reservation.candidate.endpoint.id)
     if reply.error is None:
         endpoint_health.end_lag(health)
     elif reply.error is _KIND.BEHIND and reply.position is not None:
@@ -111,7 +113,7 @@
     return reply.error.value
 
 
-def fail(kind: exceptions.ErrorKind, detail: str = "") -> statements.Reply:
+def make_error(kind: exceptions.ErrorKind, detail: str = "") -> statements.Reply:
     """Return a reply with an error."""
     return statements.Reply(error=kind, detail=detail.encode())
 
@@ -131,110 +133,116 @@
 ) -> statements.Reply:
     """Return the answer to a write that an endpoint ran as the primary."""
     if not can_acknowledge(session.gateway, endpoint.database, version):
-        session.trail.add(endpoint.id, "belief lapsed")
-        return fail(_KIND.OUTCOME_UNKNOWN, "primary may have changed")
-    session.written = reply.position
+        session.trace.add(endpoint.id, "belief lapsed")
+        return make_error(_KIND.OUTCOME_UNKNOWN, "primary may have changed")
+    session.last_write_position = reply.position
     return reply
 
 
-async def enter(
-    session, route: catalog.Route, deadline: float, search: searches.Search
+async def reserve(
+    session, route: catalog.Route, deadline: float, retry: retries.RetryState
 ):
     """Choose an endpoint and wait for a slot and a connection there.
 
     Returns
     -------
-    Entered or Reply
+    Reservation or Reply
         The way to the endpoint; a reply if the work cannot start.
     """
     gateway = session.gateway
-    refusal = fail(_KIND.UNAVAILABLE, "no primary is known")
-    patience = deadline - route.statement_seconds * (1.0 - PATIENCE_SHARE)
-    offers = 0
-    while offers < MAXIMUM_ATTEMPTS:
+    refusal = make_error(_KIND.UNAVAILABLE, "no primary is known")
+    wait_until = deadline - route.statement_seconds * (1.0 - PRIMARY_WAIT_SHARE)
+    attempts = 0
+    while attempts < MAXIMUM_ATTEMPTS:
         now = clocks.read_clock()
-        candidate = choose(session, route, search, now)
+        candidate = choose_endpoint(session, route, retry, now)
         version = 0
-        start_at = now
+        retry_time = now
         if candidate is not None and candidate.primary:
             version = gateway.board.primary_grants[route.database].version
-            start_at = search.find_start(version, now)
-        if candidate is None or start_at > now:
-            if search.excluded or gateway.board.isolated:
+            retry_time = retry.find_retry_time(version, now)
+        if candidate is None or retry_time > now:
+            if retry.excluded or gateway.board.isolated:
                 break
             await gateway.wait_for_change(
-                patience if candidate is None else min(start_at, patience)
+                wait_until if candidate is None else min(retry_time, wait_until)
             )
-            if clocks.read_clock() >= patience:
+            if clocks.read_clock() >= wait_until:
                 break
             continue
-        offers += 1
-        entered = await _enter_at(session, route, candidate, version, deadline, search)
-        if isinstance(entered, Entered):
-            return entered
-        if entered is not None:
-            refusal = entered
+        attempts += 1
+        reservation = await _reserve_at(
+            session, route, candidate, version, deadline, retry
+        )
+        if isinstance(reservation, Reservation):
+            return reservation
+        if reservation is not None:
+            refusal = reservation
     return refusal
 
 
-async def _enter_at(session, route, candidate, version: int, deadline: float, search):
+async def _reserve_at(session, route, candidate, version: int, deadline: float, retry):
     """Wait for a slot and a connection at one endpoint.
 
     Returns
     -------
-    Entered, Reply or None
+    Reservation, Reply or None
         The way to the endpoint; the reason why there is none; None if another
         endpoint became the primary meanwhile.
     """
-    gateway, trail = session.gateway, session.trail
+    gateway, trace = session.gateway, session.trace
     now = clocks.read_clock()
     endpoint = candidate.endpoint
-    gate = gateway.get_gate(endpoint)
+    pool = gateway.get_pool(endpoint)
     try:
-        turn = await gateway.enter_gate(
-            gate, route.rank, deadline, session.state, version=version
+        checkout = await gateway.acquire_from(
+            pool, route.rank, deadline, session.state, version=version
         )
-    except gates.PrimaryChangedError:
-        trail.add(endpoint.id, "replaced as the primary")
+    except connection_pools.PrimaryChangedError:
+        trace.add(endpoint.id, "replaced as the primary")
         return None
-    except gates.RefusalError as refusal:
+    except connection_pools.RefusalError as refusal:
         ended = clocks.read_clock()
-        search.record_failure(endpoint.id, version, refusal.kind, ended)
-        trail.add(endpoint.id, f"refused ({refusal.reason})")
-        return fail(refusal.kind, refusal.reason)
-    except links.LinkError as error:
+        retry.record_failure(endpoint.id, version, refusal.kind, ended)
+        trace.add(endpoint.id, f"refused ({refusal.reason})")
+        return make_error(refusal.kind, refusal.reason)
+    except endpoint_connections.EndpointConnectionError as error:
         ended = clocks.read_clock()
         full = error.reason == FULL_REASON
         kind = _KIND.FULL if full else _KIND.UNAVAILABLE
-        search.record_failure(endpoint.id, version, kind, ended)
-        trail.add(endpoint.id, f"unreachable ({error.reason})")
+        retry.record_failure(endpoint.id, version, kind, ended)
+        trace.add(endpoint.id, f"unreachable ({error.reason})")
         if not full:
             health = gateway.board.get_health(endpoint.id)
             endpoint_health.record_failure(health, now, ended)
-        return fail(_KIND.UNAVAILABLE, error.reason)
-    trail.queued += clocks.read_clock() - now
-    entered = Entered(gate=gate, turn=turn, candidate=candidate, version=version)
+        return make_error(_KIND.UNAVAILABLE, error.reason)
+    trace.queued += clocks.read_clock() - now
+    reservation = Reservation(
+        pool=pool, checkout=checkout, candidate=candidate, version=version
+    )
     if candidate.primary and not can_acknowledge(gateway, route.database, version):
-        entered.give_back()
-        trail.add(endpoint.id, "no longer the valid primary")
+        reservation.release()
+        trace.add(endpoint.id, "no longer the valid primary")
         return None
-    return entered
+    return reservation
 
 
-def choose(session, route: catalog.Route, search: searches.Search, now: float):
+def choose_endpoint(
+    session, route: catalog.Route, retry: retries.RetryState, now: float
+):
     """Return the best candidate or None."""
     gateway = session.gateway
-    if search.needs_primary:
+    if retry.needs_primary:
         primary = gateway.board.find_primary(route.database, now)
-        if primary is None or primary.id in search.excluded:
+        if primary is None or primary.id in retry.excluded:
             return None
         return routing.Candidate(endpoint=primary, position=None, primary=True)
     candidates = routing.list_candidates(
         gateway.board,
         route,
-        session.written,
+        session.last_write_position,
         gateway.estimate_wait,
-        search.excluded,
+        retry.excluded,
         now,
     )
     return candidates[0] if candidates else None
@@ -242,34 +250,34 @@
 
 async def exchange(
     gateway,
-    gate: gates.Gate,
-    link: links.Link,
-    state: states.SessionState,
+    pool: connection_pools.ConnectionPool,
+    connection: endpoint_connections.EndpointConnection,
+    state: session_state.SessionState,
     shape: statements.Shape | None,
-    make_message,
+    build_message,
     deadline: float,
 ) -> statements.Reply:
     """Correct the connection's state, send one message and return its reply.
 
     Parameters
     ----------
-    make_message : callable
+    build_message : callable
         Takes the statement's name on the connection, returns the message.
 
     Raises
     ------
-    LinkError
+    EndpointConnectionError
         If the connection ended or did not answer in time; it is closed.
     """
-    health = gateway.board.get_health(gate.endpoint.id)
+    health = gateway.board.get_health(pool.endpoint.id)
     sent_at = clocks.read_clock()
     try:
-        reply = await link.run(state, shape, make_message, deadline)
-    except links.LinkError as error:
+        reply = await connection.run(state, shape, build_message, deadline)
+    except endpoint_connections.EndpointConnectionError as error:
         now = clocks.read_clock()
-        if link.direct:
+        if connection.direct:
             endpoint_health.record_failure(health, sent_at, now)
-        if error.sent and error.witnessed:
+        if error.sent and error.endpoint_fault:
             endpoint_health.record_outcome(health, True, now)
         raise
     now = clocks.read_clock()
@@ -278,14 +286,14 @@
     return reply
 
 
-def observe(gateway, gate, version: int, reply, sent_at: float) -> None:
+def record_observation(gateway, pool, version: int, reply, sent_at: float) -> None:
     """Use the position in an answer of the primary."""
-    database = gate.endpoint.database
+    database = pool.endpoint.database
     grant = gateway.board.primary_grants.get(database)
     if (
         grant is None
         or grant.version != version
-        or grant.endpoint != gate.endpoint.id
+        or grant.endpoint != pool.endpoint.id
         or grant.valid_until <= sent_at
         or reply.position is None
     ):
@@ -293,7 +301,7 @@
     gateway.board.get_positions(database).add_own(reply.position, sent_at)
 
 
-def make_message(session, request, position):
+def make_message_builder(session, request, position):
     """Return the function that builds a client's statement for a connection."""
     codec = session.gateway.endpoint_codec
 
--- a/hyssopshelf/gateway/forwarding.py
+++ b/hyssopshelf/gateway/forwarding.py
@@ -11,19 +11,24 @@
 import attrs
 
 from hyssopshelf import clocks, exceptions, logs, messages
-from hyssopshelf.gateway import gates, links, statements, states
+from hyssopshelf.gateway import (
+    connection_pools,
+    endpoint_connections,
+    session_state,
+    statements,
+)
 
 AVOIDANCE_SECONDS = 1.0
 """Time for which other holders are preferred after one did not answer."""
 
-HELD_SECONDS = 8.0
+PINNED_SECONDS = 8.0
 """Time after which a holder rolls back a transaction of an entry node that is
 silent; above the limits on idle transactions of all known sites."""
 
 ANSWER_MARGIN_SECONDS = 0.02
 """Time that the holder leaves for its answer before the statement's deadline."""
 
-NOT_LEADING = "no longer the valid primary"
+NOT_PRIMARY_REASON = "no longer the valid primary"
 """Reason of a holder that does not send work to a former primary."""
 
 _MARK = b"\0"
@@ -102,7 +107,7 @@
     unit: int
 
 
-class RemoteLink:
+class RemoteConnection:
     """A unit of work at a holder, used like a connection.
 
     Parameters
@@ -125,17 +130,17 @@
         self.holder = holder
         self.rank = rank
         self.version = version
-        self.state = states.ConnectionState()
+        self.state = session_state.ConnectionState()
         self.unit = forwarder.start_unit(self)
         self.closed = False
         self.direct = False
-        self.held = False
+        self.pinned = False
         self.step = 0
         self.waiter: asyncio.Future | None = None
 
-    async def run(self, state, shape, make_message, deadline: float):
+    async def run(self, state, shape, build_message, deadline: float):
         """Send one message through the holder and return its reply."""
-        head, _, tail = make_message(_MARK if shape is not None else b"").partition(
+        head, _, tail = build_message(_MARK if shape is not None else b"").partition(
             _MARK
         )
         return await self._send(
@@ -148,7 +153,7 @@
 
     async def exchange(self, data: bytes, replies: int) -> list[statements.Reply]:
         """Send a message that needs no session state."""
-        deadline = clocks.read_clock() + HELD_SECONDS
+        deadline = clocks.read_clock() + PINNED_SECONDS
         reply = await self._send(
             values=None, shape=None, head=data, tail=b"", deadline=deadline
         )
@@ -160,12 +165,12 @@
             return
         self.closed = True
         self.forwarder.end_unit(self)
-        if self.held or self.waiter is not None:
+        if self.pinned or self.waiter is not None:
             self.forwarder.send(*self.holder, Cancel(unit=self.unit))
 
     def finish(self) -> None:
         """End the unit after its last reply."""
-        if self.held:
+        if self.pinned:
             self.close()
         elif not self.closed:
             self.closed = True
@@ -173,7 +178,7 @@
 
     async def _send(self, *, values, shape, head, tail, deadline: float):
         if self.closed:
-            raise links.LinkError("already closed")
+            raise endpoint_connections.EndpointConnectionError("already closed")
         self.step += 1
         self.waiter = asyncio.get_running_loop().create_future()
         remaining = deadline - clocks.read_clock()
@@ -197,8 +202,8 @@
         except TimeoutError as error:
             self.forwarder.avoid(*self.holder)
             self.close()
-            raise links.LinkError(
-                "no answer of the holder in time", witnessed=False
+            raise endpoint_connections.EndpointConnectionError(
+                "no answer of the holder in time", endpoint_fault=False
             ) from error
         except asyncio.CancelledError:
             self.close()
@@ -206,10 +211,12 @@
         finally:
             self.waiter = None
         if answer.failure:
-            self.held = False
+            self.pinned = False
             self.close()
-            raise links.LinkError(answer.failure, sent=answer.sent)
-        self.held = answer.state != b"I"
+            raise endpoint_connections.EndpointConnectionError(
+                answer.failure, sent=answer.sent
+            )
+        self.pinned = answer.state != b"I"
         return statements.Reply(
             rows=answer.rows,
             signature=answer.signature,
@@ -224,7 +231,7 @@
         )
 
 
-class RemoteGate:
+class RemotePool:
     """The way to an endpoint whose connections other hosts hold.
 
     Parameters
@@ -240,40 +247,42 @@
         self.forwarder = forwarder
         self.codec = forwarder.gateway.endpoint_codec
 
-    async def enter(self, rank, deadline, session, link=None, version: int = 0):
+    async def acquire(self, rank, deadline, session, connection=None, version: int = 0):
         """Choose a holder; the work waits there."""
-        if link is not None:
-            return gates.Turn(work_id="", link=link)
+        if connection is not None:
+            return connection_pools.Checkout(work_id="", connection=connection)
         holder = self.forwarder.choose_holder(self.endpoint.id)
         if holder is None or self.forwarder.gateway.board.isolated:
-            raise links.LinkError("no holder is reached", sent=False)
-        remote = RemoteLink(
+            raise endpoint_connections.EndpointConnectionError(
+                "no holder is reached", sent=False
+            )
+        remote = RemoteConnection(
             forwarder=self.forwarder,
             endpoint=self.endpoint,
             holder=holder,
             rank=rank,
             version=version,
         )
-        return gates.Turn(work_id="", link=remote)
+        return connection_pools.Checkout(work_id="", connection=remote)
 
-    def leave(self, turn: gates.Turn) -> None:
+    def release_slot(self, checkout: connection_pools.Checkout) -> None:
         """Do nothing; the holder counts the slots."""
 
-    def release_link(self, link: RemoteLink) -> None:
+    def release_connection(self, connection: RemoteConnection) -> None:
         """End a unit of work."""
-        link.finish()
+        connection.finish()
 
-    def discard_link(self, link: RemoteLink) -> None:
+    def discard_connection(self, connection: RemoteConnection) -> None:
         """Give a unit of work up."""
-        link.close()
+        connection.close()
 
 
 @attrs.define(kw_only=True)
-class HeldUnit:
+class PinnedUnit:
     """A unit of an entry node at its holder."""
 
-    gate: gates.Gate
-    link: links.Link
+    pool: connection_pools.ConnectionPool
+    connection: endpoint_connections.EndpointConnection
     used_at: float
 
 
@@ -296,10 +305,10 @@
         self.send = send
         self.reset = reset
         self.holders: dict[str, list[tuple[str, str]]] = {}
-        self._units: dict[int, RemoteLink] = {}
+        self._units: dict[int, RemoteConnection] = {}
         self._numbers = itertools.count(1)
         self._avoided: dict[str, float] = {}
-        self._held: dict[tuple[str, int], HeldUnit] = {}
+        self._pinned: dict[tuple[str, int], PinnedUnit] = {}
         self._tasks: dict[tuple[str, int], asyncio.Task] = {}
 
     def is_forwarded(self, endpoint: str) -> bool:
@@ -323,23 +332,23 @@
         self._avoided[host] = clocks.read_clock() + AVOIDANCE_SECONDS
         logs.write_request(logs.LogEvent.HOLDER_AVOIDED, {"holder": host})
 
-    def start_unit(self, link: RemoteLink) -> int:
+    def start_unit(self, remote: RemoteConnection) -> int:
         """Register a unit of work; return its number."""
         number = next(self._numbers)
-        self._units[number] = link
+        self._units[number] = remote
         return number
 
-    def end_unit(self, link: RemoteLink) -> None:
+    def end_unit(self, remote: RemoteConnection) -> None:
         """Forget a unit of work."""
-        self._units.pop(link.unit, None)
+        self._units.pop(remote.unit, None)
 
     def receive_forwarded(self, message: Forwarded) -> None:
         """Hand an answer to the unit that waits for it."""
-        link = self._units.get(message.unit)
-        if link is None or link.step != message.step or link.waiter is None:
+        remote = self._units.get(message.unit)
+        if remote is None or remote.step != message.step or remote.waiter is None:
             return
-        if not link.waiter.done():
-            link.waiter.set_result(message)
+        if not remote.waiter.done():
+            remote.waiter.set_result(message)
 
     def receive_unsent(self, message) -> None:
         """End a unit whose message did not leave this node."""
@@ -368,16 +377,16 @@
         task = self._tasks.get(key)
         if task is not None:
             task.cancel()
-        held = self._held.pop(key, None)
-        if held is not None:
-            held.gate.discard_link(held.link)
+        pinned = self._pinned.pop(key, None)
+        if pinned is not None:
+            pinned.pool.discard_connection(pinned.connection)
 
     def expire(self, now: float) -> None:
         """Roll back transactions of entry nodes that are silent."""
-        for key, held in list(self._held.items()):
-            if now - held.used_at > HELD_SECONDS and key not in self._tasks:
-                del self._held[key]
-                held.gate.discard_link(held.link)
+        for key, pinned in list(self._pinned.items()):
+            if now - pinned.used_at > PINNED_SECONDS and key not in self._tasks:
+                del self._pinned[key]
+                pinned.pool.discard_connection(pinned.connection)
 
     def _forget_task(self, key, task) -> None:
         if self._tasks.get(key) is task:
@@ -386,11 +395,11 @@
     async def _serve(self, message: Forward, key, address: str) -> None:
         try:
             answer = await self._run(message, key)
-        except gates.RefusalError as refusal:
+        except connection_pools.RefusalError as refusal:
             answer = Forwarded(
                 unit=message.unit, step=message.step, error=refusal.kind.value
             )
-        except links.LinkError as error:
+        except endpoint_connections.EndpointConnectionError as error:
             answer = Forwarded(
                 unit=message.unit,
                 step=message.step,
@@ -404,43 +413,53 @@
         gateway = self.gateway
         deadline = clocks.read_clock() + message.remaining
         shape = statements.Shape(*message.shape) if message.shape is not None else None
-        state = states.SessionState(values=dict(message.values or ()))
-        held = self._held.pop(key, None)
-        if held is not None:
-            gate, link = held.gate, held.link
+        state = session_state.SessionState(values=dict(message.values or ()))
+        pinned = self._pinned.pop(key, None)
+        if pinned is not None:
+            pool, connection = pinned.pool, pinned.connection
         else:
             endpoint = gateway.board.endpoints.get(message.endpoint)
             if endpoint is None or message.step != 1:
-                raise links.LinkError("unit is not known", sent=False)
-            gate, link = gateway.get_local_gate(endpoint), None
+                raise endpoint_connections.EndpointConnectionError(
+                    "unit is not known", sent=False
+                )
+            pool, connection = gateway.get_local_pool(endpoint), None
         try:
-            if link is None:
-                turn = await gateway.enter_gate(
-                    gate, message.rank, deadline, state, version=message.version
+            if connection is None:
+                checkout = await gateway.acquire_from(
+                    pool, message.rank, deadline, state, version=message.version
                 )
             else:
-                turn = await gate.enter(message.rank, deadline, state, link)
+                checkout = await pool.acquire(message.rank, deadline, state, connection)
         except BaseException as error:
-            if link is not None:
-                gate.discard_link(link)
-            if isinstance(error, gates.PrimaryChangedError):
-                raise links.LinkError(NOT_LEADING, sent=False) from error
-            if isinstance(error, links.LinkError):
-                raise links.LinkError(error.reason, sent=False) from error
+            if connection is not None:
+                pool.discard_connection(connection)
+            if isinstance(error, connection_pools.PrimaryChangedError):
+                raise endpoint_connections.EndpointConnectionError(
+                    NOT_PRIMARY_REASON, sent=False
+                ) from error
+            if isinstance(error, endpoint_connections.EndpointConnectionError):
+                raise endpoint_connections.EndpointConnectionError(
+                    error.reason, sent=False
+                ) from error
             raise
-        link = turn.link
+        connection = checkout.connection
         if message.values is None:
-            state.values.update(link.state.values)
+            state.values.update(connection.state.values)
         reply = None
         try:
-            if message.version and not self._leads(message):
-                raise links.LinkError(NOT_LEADING, sent=False)
-            reply = await link.run(
+            if message.version and not self._is_primary(message):
+                raise endpoint_connections.EndpointConnectionError(
+                    NOT_PRIMARY_REASON, sent=False
+                )
+            reply = await connection.run(
                 state, shape, lambda name: message.head + name + message.tail, deadline
             )
         finally:
-            gate.leave(turn)
-            self._settle(key, gate, link, reply, in_transaction=held is not None)
+            pool.release_slot(checkout)
+            self._settle(
+                key, pool, connection, reply, in_transaction=pinned is not None
+            )
         return Forwarded(
             unit=message.unit,
             step=message.step,
@@ -452,23 +471,23 @@
             position=tuple(reply.position) if reply.position is not None else None,
         )
 
-    def _settle(self, key, gate, link, reply, in_transaction: bool) -> None:
+    def _settle(self, key, pool, connection, reply, in_transaction: bool) -> None:
         """Keep, return or close a connection after a message of a unit."""
         if reply is None:
-            if in_transaction or link.closed:
-                gate.discard_link(link)
+            if in_transaction or connection.closed:
+                pool.discard_connection(connection)
             else:
-                gate.release_link(link)
+                pool.release_connection(connection)
         elif reply.error is _KIND.UNPREPARED:
-            gate.discard_link(link)
+            pool.discard_connection(connection)
         elif reply.state == b"I":
-            gate.release_link(link)
+            pool.release_connection(connection)
         else:
-            self._held[key] = HeldUnit(
-                gate=gate, link=link, used_at=clocks.read_clock()
+            self._pinned[key] = PinnedUnit(
+                pool=pool, connection=connection, used_at=clocks.read_clock()
             )
 
-    def _leads(self, message: Forward) -> bool:
+    def _is_primary(self, message: Forward) -> bool:
         """Return whether the endpoint leads under the version that work needs."""
         board = self.gateway.board
         grant = board.primary_grants.get(message.database)
--- a/hyssopshelf/gateway/gateway.py
+++ b/hyssopshelf/gateway/gateway.py
@@ -1,10 +1,17 @@
-"""The gateway of one node: its blackboard, gates and waiting requests."""
+"""The gateway of one node: its blackboard, connection pools and waiting requests."""
 
 import asyncio
 import contextlib
 
 from hyssopshelf import clocks, logs
-from hyssopshelf.gateway import blackboard, catalog, forwarding, gates, hedging, metrics
+from hyssopshelf.gateway import (
+    blackboard,
+    catalog,
+    connection_pools,
+    forwarding,
+    hedging,
+    metrics,
+)
 
 FIRST_SHARE = 1
 """Connections that a node opens to an endpoint before it knows its share."""
@@ -17,7 +24,7 @@
 
 
 class Gateway:
-    """Owns the gates and tells waiting requests about changes.
+    """Owns the connection pools and tells waiting requests about changes.
 
     Parameters
     ----------
@@ -32,37 +39,39 @@
         self.endpoint_codec = endpoint_codec
         self.metrics = metrics.Metrics()
         self.hedges = hedging.HedgeBudget()
-        self.gates: dict[str, gates.Gate] = {}
+        self.connection_pools: dict[str, connection_pools.ConnectionPool] = {}
         self.shares: dict[str, int] = {}
         self.forwarder: forwarding.Forwarder | None = None
         self.open_writes: dict[tuple[str, int], int] = {}
         self._changed = asyncio.Event()
         self._waiting: dict[str, set[asyncio.Timeout]] = {}
 
-    def get_gate(self, endpoint: catalog.Endpoint):
+    def get_pool(self, endpoint: catalog.Endpoint):
         """Return the way to an endpoint, through a holder where there is one."""
         forwarder = self.forwarder
         if forwarder is not None and forwarder.is_forwarded(endpoint.id):
-            return forwarding.RemoteGate(endpoint=endpoint, forwarder=forwarder)
-        return self.get_local_gate(endpoint)
-
-    def get_local_gate(self, endpoint: catalog.Endpoint) -> gates.Gate:
-        """Return this node's gate; a restarted endpoint gets a new one."""
-        gate = self.gates.get(endpoint.id)
-        if gate is not None and (
-            gate.endpoint.address != endpoint.address
-            or gate.endpoint.started != endpoint.started
+            return forwarding.RemotePool(endpoint=endpoint, forwarder=forwarder)
+        return self.get_local_pool(endpoint)
+
+    def get_local_pool(
+        self, endpoint: catalog.Endpoint
+    ) -> connection_pools.ConnectionPool:
+        """Return this node's pool; a restarted endpoint gets a new one."""
+        pool = self.connection_pools.get(endpoint.id)
+        if pool is not None and (
+            pool.endpoint.address != endpoint.address
+            or pool.endpoint.started != endpoint.started
         ):
-            gate.shut()
-            gate = None
-        if gate is None:
-            gate = gates.Gate(
+            pool.close()
+            pool = None
+        if pool is None:
+            pool = connection_pools.ConnectionPool(
                 endpoint=endpoint,
                 codec=self.endpoint_codec,
                 view=self._make_view(endpoint),
             )
-            self.gates[endpoint.id] = gate
-        return gate
+            self.connection_pools[endpoint.id] = pool
+        return pool
 
     def apply_configuration(self, new: catalog.Configuration) -> bool:
         """Put a configuration in force unless it is older; return whether it was."""
@@ -101,22 +110,22 @@
         for endpoint_id in before.keys() - endpoints.keys():
             logs.write(logs.LogEvent.ENDPOINT_REMOVED, {"endpoint": endpoint_id})
             self.board.health.pop(endpoint_id, None)
-            gate = self.gates.pop(endpoint_id, None)
-            if gate is not None:
-                gate.shut()
-        for endpoint_id, gate in list(self.gates.items()):
+            pool = self.connection_pools.pop(endpoint_id, None)
+            if pool is not None:
+                pool.close()
+        for endpoint_id, pool in list(self.connection_pools.items()):
             endpoint = endpoints[endpoint_id]
-            gate = self.get_local_gate(endpoint)
-            gate.endpoint = endpoint
+            pool = self.get_local_pool(endpoint)
+            pool.endpoint = endpoint
             if endpoint.leaving:
-                gate.close_idle(0, clocks.read_clock())
+                pool.close_idle(0, clocks.read_clock())
         self.notify()
 
     def refresh_views(self) -> None:
-        """Bring limits and ranks of all gates up to date."""
-        for gate in self.gates.values():
-            gate.view = self._make_view(gate.endpoint)
-            gate.pump()
+        """Bring limits and ranks of all pools up to date."""
+        for pool in self.connection_pools.values():
+            pool.view = self._make_view(pool.endpoint)
+            pool.start_waiting()
 
     def notify(self) -> None:
         """Wake the requests that wait for a change of the board."""
@@ -130,9 +139,9 @@
             async with asyncio.timeout(max(0.0, deadline - clocks.read_clock())):
                 await changed.wait()
 
-    async def enter_gate(
-        self, gate, rank: int, deadline: float, state, *, version: int
-    ) -> gates.Turn:
+    async def acquire_from(
+        self, pool, rank: int, deadline: float, state, *, version: int
+    ) -> connection_pools.Checkout:
         """Wait for a slot and a connection as long as the endpoint may be used.
 
         Parameters
@@ -144,21 +153,21 @@
         ------
         PrimaryChangedError
             If another endpoint becomes the primary first.
-        RefusalError, LinkError
-            As :meth:`gates.Gate.enter`.
+        RefusalError, EndpointConnectionError
+            As :meth:`connection_pools.ConnectionPool.acquire`.
         """
         if not version:
-            return await gate.enter(rank, deadline, state)
-        waiting = self._waiting.setdefault(gate.endpoint.database, set())
+            return await pool.acquire(rank, deadline, state)
+        waiting = self._waiting.setdefault(pool.endpoint.database, set())
         try:
             async with asyncio.timeout(None) as scope:
                 waiting.add(scope)
                 try:
-                    return await gate.enter(rank, deadline, state, version=version)
+                    return await pool.acquire(rank, deadline, state, version=version)
                 finally:
                     waiting.discard(scope)
         except TimeoutError as error:
-            raise gates.PrimaryChangedError from error
+            raise connection_pools.PrimaryChangedError from error
 
     def cancel_waiting(self, database: str) -> None:
         """Send work that waits for a primary back to the search for an endpoint."""
@@ -168,10 +177,10 @@
 
     def estimate_wait(self, endpoint_id: str) -> float:
         """Return the expected wait for a slot of an endpoint in seconds."""
-        gate = self.gates.get(endpoint_id)
-        if gate is None:
+        pool = self.connection_pools.get(endpoint_id)
+        if pool is None:
             return 0.0
-        return gate.estimate_wait(self.board.get_health(endpoint_id).latency)
+        return pool.estimate_wait(self.board.get_health(endpoint_id).latency)
 
     def start_write(self, database: str, version: int) -> None:
         """Count a write that runs at a primary under a version of its assignment."""
@@ -197,8 +206,8 @@
         With ``reset`` a new measurement of the peaks starts.
         """
         return {
-            endpoint: gate.measure_demand(reset=reset)
-            for endpoint, gate in self.gates.items()
+            endpoint: pool.measure_demand(reset=reset)
+            for endpoint, pool in self.connection_pools.items()
         }
 
     def list_limits(self) -> list[tuple[str, str, str, int]]:
--- a/hyssopshelf/gateway/memory.py
+++ b/hyssopshelf/gateway/memory.py
@@ -18,7 +18,7 @@
 
 
 @attrs.define(kw_only=True)
-class ByteBudget:
+class BufferBudget:
     """Bytes that connections hold.
 
     Attributes
@@ -33,7 +33,7 @@
     total: int = 0
     _held: dict[object, int] = attrs.field(factory=dict, init=False)
 
-    def hold(self, holder: object, count: int) -> list:
+    def update(self, holder: object, count: int) -> list:
         """Note how many bytes a connection holds.
 
         Returns
@@ -61,6 +61,6 @@
         self.total -= self._held.pop(holder, 0)
 
 
-def find_limit(memory_megabytes: int) -> int:
+def compute_limit(memory_megabytes: int) -> int:
     """Return the limit on a host, in bytes."""
     return int(memory_megabytes * 1024 * 1024 * CLIENT_SHARE)
--- a/hyssopshelf/gateway/metrics.py
+++ b/hyssopshelf/gateway/metrics.py
@@ -70,15 +70,19 @@
     )
     _add_histograms(add, "request_seconds", "Time to the answer", metrics.latencies)
     _add_histograms(add, "queue_seconds", "Time in queues", metrics.queued)
-    gates = list(gateway.gates.items())
+    connection_pools = list(gateway.connection_pools.items())
     for name, text, read in (
         ("handshakes_total", "Connections opened", lambda g: g.handshakes),
-        ("connections", "Open connections", lambda g: len(g.open_links)),
+        ("connections", "Open connections", lambda g: len(g.open_connections)),
         ("queue_waiting", "Waiting work", lambda g: g.queue.waiting),
         ("slots_running", "Slots in use", lambda g: g.queue.running),
         ("connection_share", "Connections allowed", lambda g: g.view.connections),
     ):
-        add(name, text, [({"endpoint": key}, read(gate)) for key, gate in gates])
+        add(
+            name,
+            text,
+            [({"endpoint": key}, read(pool)) for key, pool in connection_pools],
+        )
     add(
         "endpoint_failures",
         "Failures in a row",
--- a/hyssopshelf/gateway/probes.py
+++ b/hyssopshelf/gateway/probes.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from hyssopshelf import clocks, logs
-from hyssopshelf.gateway import endpoint_health, execution, links
+from hyssopshelf.gateway import endpoint_connections, endpoint_health, execution
 
 INTERVAL_SECONDS = 0.1
 """Time between two rounds."""
@@ -72,7 +72,7 @@
         sent_at = clocks.read_clock()
         try:
             reply = await send_unqueued(gateway, endpoint, None, PROBE_SECONDS)
-        except links.LinkError as error:
+        except endpoint_connections.EndpointConnectionError as error:
             if error.reason != execution.FULL_REASON:
                 endpoint_health.record_failure(health, sent_at, clocks.read_clock())
                 logs.write_request(
@@ -88,8 +88,8 @@
             self._probing.discard(endpoint.id)
         endpoint_health.record_contact(health, clocks.read_clock())
         if grant is not None and grant.endpoint == endpoint.id:
-            gate = gateway.get_local_gate(endpoint)
-            execution.observe(gateway, gate, grant.version, reply, sent_at)
+            pool = gateway.get_local_pool(endpoint)
+            execution.record_observation(gateway, pool, grant.version, reply, sent_at)
 
 
 async def send_unqueued(gateway, endpoint, message: bytes | None, seconds: float):
@@ -102,27 +102,31 @@
 
     Raises
     ------
-    LinkError
+    EndpointConnectionError
         If the endpoint does not answer in time.
     """
-    gate = gateway.get_local_gate(endpoint)
+    pool = gateway.get_local_pool(endpoint)
     deadline = clocks.read_clock() + seconds
-    link = gate.claim_idle()
-    if link is None:
-        link = await links.open_link(endpoint, gateway.endpoint_codec, seconds)
-        gate.adopt_link(link)
+    connection = pool.take_idle()
+    if connection is None:
+        connection = await endpoint_connections.open_connection(
+            endpoint, gateway.endpoint_codec, seconds
+        )
+        pool.add_connection(connection)
     if message is None:
         message = gateway.endpoint_codec.format_reset()
-        link.state.values.clear()
-        link.state.prepared.clear()
+        connection.state.values.clear()
+        connection.state.prepared.clear()
     try:
         async with asyncio.timeout(max(0.0, deadline - clocks.read_clock())):
-            replies = await link.exchange(message, 1)
+            replies = await connection.exchange(message, 1)
     except TimeoutError as error:
-        gate.discard_link(link)
-        raise links.LinkError("no answer in time") from error
+        pool.discard_connection(connection)
+        raise endpoint_connections.EndpointConnectionError(
+            "no answer in time"
+        ) from error
     except BaseException:
-        gate.discard_link(link)
+        pool.discard_connection(connection)
         raise
-    gate.release_link(link)
+    pool.release_connection(connection)
     return replies[0]
--- a/hyssopshelf/gateway/searches.py
+++ b/hyssopshelf/gateway/retries.py
@@ -16,11 +16,11 @@
 _KIND = exceptions.ErrorKind
 
 OVERLOADED = frozenset({_KIND.REFUSED, _KIND.NOT_RUN, _KIND.FULL})
-"""Outcomes that another offer to the same endpoint would only make worse."""
+"""Outcomes that another attempt at the same endpoint would only make worse."""
 
 
 @attrs.define(kw_only=True)
-class Search:
+class RetryState:
     """Where a unit of work has been offered without success.
 
     Attributes
@@ -56,7 +56,7 @@
         else:
             self.excluded.add(endpoint)
 
-    def find_start(self, version: int, now: float) -> float:
+    def find_retry_time(self, version: int, now: float) -> float:
         """Return the time from which an endpoint may be tried."""
         if version and version == self.failed_version:
             return max(now, self.retry_at)
--- a/hyssopshelf/gateway/routing.py
+++ b/hyssopshelf/gateway/routing.py
@@ -44,7 +44,10 @@
 
 
 def find_position(
-    board, route: catalog.Route, own: statements.LogPosition | None, now: float
+    board,
+    route: catalog.Route,
+    session_position: statements.LogPosition | None,
+    now: float,
 ) -> tuple[statements.LogPosition | None, bool]:
     """Return the position that a replica must hold for a read.
 
@@ -60,9 +63,9 @@
     position, _ = log.find_bound(oldest)
     if position is None:
         return None, False
-    if own is None or route.read_rule != catalog.ReadRule.OWN_WRITES:
+    if session_position is None or route.read_rule != catalog.ReadRule.OWN_WRITES:
         return position, True
-    translated = log.translate(own)
+    translated = log.translate(session_position)
     if translated is None:
         return None, False
     return max(position, translated), True
@@ -71,8 +74,8 @@
 def list_candidates(
     board,
     route: catalog.Route,
-    own: statements.LogPosition | None,
-    load,
+    session_position: statements.LogPosition | None,
+    estimate_wait,
     excluded: set[str],
     now: float,
 ) -> list[Candidate]:
@@ -80,7 +83,7 @@
 
     Parameters
     ----------
-    load : callable
+    estimate_wait : callable
         Returns the expected wait at an endpoint in seconds, by its id.
     excluded : set of str
         Endpoints that have failed this read.
@@ -90,7 +93,7 @@
     if primary is not None:
         candidates.append(Candidate(endpoint=primary, position=None, primary=True))
     if route.read_rule != catalog.ReadRule.PRIMARY:
-        position, known = find_position(board, route, own, now)
+        position, known = find_position(board, route, session_position, now)
         if known:
             candidates += [
                 Candidate(endpoint=endpoint, position=position, primary=False)
@@ -102,11 +105,11 @@
                 )
             ]
     candidates = [c for c in candidates if c.endpoint.id not in excluded]
-    candidates.sort(key=lambda c: estimate_cost(board, c, load, now))
+    candidates.sort(key=lambda c: estimate_cost(board, c, estimate_wait, now))
     return candidates
 
 
-def estimate_cost(board, candidate: Candidate, load, now: float) -> tuple:
+def estimate_cost(board, candidate: Candidate, estimate_wait, now: float) -> tuple:
     """Return the sort key of a candidate, the smallest for the best."""
     endpoint = candidate.endpoint
     health = board.health.get(endpoint.id)
@@ -117,7 +120,7 @@
         seconds = SAME_PLACE_SECONDS
     else:
         seconds = SAME_REGION_SECONDS if same_region else OTHER_REGION_SECONDS
-    seconds += load(endpoint.id)
+    seconds += estimate_wait(endpoint.id)
     if health is not None:
         seconds += endpoint_health.find_error_cost(health, now)
     if not same_region:
--- a/hyssopshelf/gateway/server.py
+++ b/hyssopshelf/gateway/server.py
@@ -4,7 +4,7 @@
 import collections
 
 from hyssopshelf import clocks, exceptions, logs
-from hyssopshelf.gateway import execution, links, memory, sessions
+from hyssopshelf.gateway import endpoint_connections, execution, memory, sessions
 
 MAXIMUM_PENDING = 32
 """Requests of one client that wait for their turn; beyond, reading pauses."""
@@ -34,7 +34,7 @@
     def __init__(self, *, gateway, codec, limit: int) -> None:
         self.gateway = gateway
         self.codec = codec
-        self.budget = memory.ByteBudget(limit=limit)
+        self.budget = memory.BufferBudget(limit=limit)
         self.connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
 
@@ -73,9 +73,9 @@
                 )
                 session.abort()
 
-    def hold(self, connection: "ClientConnection", count: int) -> None:
+    def update_buffered(self, connection: "ClientConnection", count: int) -> None:
         """Note the bytes of a connection; close the largest holders if needed."""
-        for other in self.budget.hold(connection, count):
+        for other in self.budget.update(connection, count):
             other.abort("clients hold too much memory")
 
     def close_idle(self) -> int:
@@ -110,7 +110,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection."""
         self._transport = transport
-        links.tune_socket(transport)
+        endpoint_connections.tune_socket(transport)
         self.server.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
@@ -169,7 +169,9 @@
 
     def _count_bytes(self) -> None:
         unsent = self._transport.get_write_buffer_size()
-        self.server.hold(self, len(self._buffer) + self._pending_bytes + unsent)
+        self.server.update_buffered(
+            self, len(self._buffer) + self._pending_bytes + unsent
+        )
 
     async def _work(self) -> None:
         try:
@@ -226,31 +228,31 @@
                 {"id": request.id.decode(errors="replace"), "error": repr(error)},
             )
             session.close()
-            reply = execution.fail(_KIND.INTERNAL, "internal error")
+            reply = execution.make_error(_KIND.INTERNAL, "internal error")
         self._send(codec.format_reply(reply, session.status))
         self._log(request, reply, session, clocks.read_clock() - started)
         if reply.error is _KIND.NOT_FOUND:
             self.close()
 
     def _log(self, request, reply, session, seconds: float) -> None:
-        trail = session.trail
+        trace = session.trace
         route = session.find_route()
         self.server.gateway.metrics.record(
             route.rank if route is not None else UNKNOWN_RANK,
             reply.error.value if reply.error else "done",
             seconds,
-            trail.queued,
+            trace.queued,
         )
-        if reply.error is None and not trail.steps and not trail.endpoint:
+        if reply.error is None and not trace.steps and not trace.endpoint:
             return
         current = self.server.gateway.board.configuration
         fields = {
             "id": request.id.decode(errors="replace"),
             "name": session.name,
             "statement": type(request.statement).__name__,
-            "endpoint": trail.endpoint,
-            "trail": trail.steps,
-            "queued_ms": round(trail.queued * 1000, 1),
+            "endpoint": trace.endpoint,
+            "trail": trace.steps,
+            "queued_ms": round(trace.queued * 1000, 1),
             "total_ms": round(seconds * 1000, 1),
             "version": current.version if current else 0,
             "outcome": reply.error.value if reply.error else "done",
--- a/hyssopshelf/gateway/states.py
+++ b/hyssopshelf/gateway/session_state.py
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Correction:
+class SessionSetup:
     """Messages that make a connection fit a session, in order.
 
     Attributes
@@ -54,7 +54,7 @@
 
 
 def estimate_cost(connection: ConnectionState, session: SessionState) -> int:
-    """Return the messages that a correction of the values needs."""
+    """Return the messages that the setup of the values needs."""
     held = connection.values
     if held == session.values:
         return 0
@@ -63,12 +63,12 @@
     return sum(1 for name, value in session.values.items() if held.get(name) != value)
 
 
-def correct(
+def synchronize(
     connection: ConnectionState,
     session: SessionState,
     shape: statements.Shape | None,
-) -> Correction:
-    """Return the correction before a statement and apply it to the state."""
+) -> SessionSetup:
+    """Return the session setup before a statement and apply it to the state."""
     full = (
         shape is not None
         and shape not in connection.prepared
@@ -90,4 +90,4 @@
         name = b"p%d" % connection.next_name
         connection.prepared[shape] = name
         prepare = ((name, shape),)
-    return Correction(reset=reset, values=values, prepare=prepare)
+    return SessionSetup(reset=reset, values=values, prepare=prepare)
--- a/hyssopshelf/gateway/sessions.py
+++ b/hyssopshelf/gateway/sessions.py
@@ -5,12 +5,12 @@
 
 from hyssopshelf import clocks, exceptions, logs
 from hyssopshelf.gateway import (
+    autocommit,
     catalog,
+    endpoint_connections,
     execution,
-    links,
-    single,
+    session_state,
     statements,
-    states,
     transactions,
 )
 
@@ -32,7 +32,7 @@
 
     Attributes
     ----------
-    written : LogPosition or None
+    last_write_position : LogPosition or None
         Position of the last acknowledged write.
     transaction : Transaction or None
         Open transaction.
@@ -43,11 +43,11 @@
     def __init__(self, *, gateway, name: str) -> None:
         self.gateway = gateway
         self.name = name
-        self.state = states.SessionState()
-        self.written: statements.LogPosition | None = None
+        self.state = session_state.SessionState()
+        self.last_write_position: statements.LogPosition | None = None
         self.transaction: transactions.Transaction | None = None
         self.failed = False
-        self.trail = execution.Trail()
+        self.trace = execution.RequestTrace()
         self._cleanups: set[asyncio.Task] = set()
 
     @property
@@ -64,17 +64,17 @@
 
     async def answer(self, request: statements.Request) -> statements.Reply:
         """Run a request and return its reply."""
-        self.trail = execution.Trail()
+        self.trace = execution.RequestTrace()
         if request.statement is None:
             self.close()
-            return execution.fail(_KIND.BAD_REQUEST, "malformed statement")
+            return execution.make_error(_KIND.BAD_REQUEST, "malformed statement")
         return await run(request.statement, self, request)
 
     def abort(self) -> None:
         """Give the open transaction up; the client still has to end it."""
         transaction, self.transaction = self.transaction, None
         self.failed = True
-        if transaction is not None and transaction.link is not None:
+        if transaction is not None and transaction.connection is not None:
             self._clean_up(transaction)
 
     def close(self) -> None:
@@ -85,8 +85,8 @@
     def finish(self) -> None:
         """Return the connection of an ended transaction to the pool."""
         transaction, self.transaction = self.transaction, None
-        if transaction is not None and transaction.link is not None:
-            transaction.gate.release_link(transaction.link)
+        if transaction is not None and transaction.connection is not None:
+            transaction.pool.release_connection(transaction.connection)
 
     def _clean_up(self, transaction: transactions.Transaction) -> None:
         task = asyncio.get_running_loop().create_task(roll_back(transaction))
@@ -96,24 +96,24 @@
 
 async def roll_back(transaction: transactions.Transaction) -> None:
     """Roll a transaction back; a connection that does not answer is closed."""
-    link, gate = transaction.link, transaction.gate
-    if link.closed:
-        gate.discard_link(link)
+    connection, pool = transaction.connection, transaction.pool
+    if connection.closed:
+        pool.discard_connection(connection)
         return
     try:
         async with asyncio.timeout(ROLLBACK_SECONDS):
-            replies = await link.exchange(gate.codec.format_rollback(), 1)
-    except (TimeoutError, links.LinkError) as error:
+            replies = await connection.exchange(pool.codec.format_rollback(), 1)
+    except (TimeoutError, endpoint_connections.EndpointConnectionError) as error:
         logs.write_request(
             logs.LogEvent.CONNECTION_DISCARDED,
-            {"endpoint": gate.endpoint.id, "reason": f"rollback failed: {error!r}"},
+            {"endpoint": pool.endpoint.id, "reason": f"rollback failed: {error!r}"},
         )
-        gate.discard_link(link)
+        pool.discard_connection(connection)
         return
     if replies[0].error is not None:
-        gate.discard_link(link)
+        pool.discard_connection(connection)
         return
-    gate.release_link(link)
+    pool.release_connection(connection)
 
 
 @functools.singledispatch
@@ -128,7 +128,7 @@
     @functools.wraps(handler)
     async def check(statement, session: Session, request) -> statements.Reply:
         if session.failed:
-            return execution.fail(_KIND.BAD_REQUEST, "the transaction has failed")
+            return execution.make_error(_KIND.BAD_REQUEST, "the transaction has failed")
         return await handler(statement, session, request)
 
     return check
@@ -138,10 +138,10 @@
 async def _run_begin(statement: statements.Begin, session, request):
     if session.failed or session.transaction is not None:
         session.close()
-        return execution.fail(_KIND.BAD_REQUEST, "a transaction is open")
+        return execution.make_error(_KIND.BAD_REQUEST, "a transaction is open")
     route = session.find_route()
     if route is None:
-        return execution.fail(_KIND.NOT_FOUND, session.name)
+        return execution.make_error(_KIND.NOT_FOUND, session.name)
     session.transaction = transactions.Transaction(
         read_only=statement.read_only, route=route, idle_since=clocks.read_clock()
     )
@@ -159,10 +159,10 @@
 async def _run_commit(statement: statements.Commit, session, request):
     if session.failed:
         session.failed = False
-        return execution.fail(_KIND.ABORTED, "the transaction had failed")
+        return execution.make_error(_KIND.ABORTED, "the transaction had failed")
     transaction = session.transaction
     if transaction is None:
-        return execution.fail(_KIND.BAD_REQUEST, "no transaction is open")
+        return execution.make_error(_KIND.BAD_REQUEST, "no transaction is open")
     reply = await transactions.run(session, request, None, commit=True)
     if session.failed:
         # The client's COMMIT ends the transaction also when it fails.
@@ -171,7 +171,7 @@
     session.finish()
     if transaction.wrote:
         return execution.acknowledge_write(
-            session, transaction.gate.endpoint, transaction.grant_version, reply
+            session, transaction.pool.endpoint, transaction.grant_version, reply
         )
     return reply
 
@@ -195,7 +195,7 @@
 async def _run_deallocate(statement: statements.Deallocate, session, request):
     if session.state.prepared.pop(statement.name, None) is None:
         session.close()
-        return execution.fail(_KIND.UNPREPARED, "no such statement")
+        return execution.make_error(_KIND.UNPREPARED, "no such statement")
     return statements.Reply()
 
 
@@ -211,7 +211,7 @@
     shape = session.state.prepared.get(statement.name)
     if shape is None:
         session.close()
-        return execution.fail(_KIND.UNPREPARED, "no such statement")
+        return execution.make_error(_KIND.UNPREPARED, "no such statement")
     return await _run_data(session, request, shape.writes, shape)
 
 
@@ -221,4 +221,4 @@
         if reply.error is None and writes and session.transaction is not None:
             session.transaction.wrote = True
         return reply
-    return await single.run(session, request, writes, shape)
+    return await autocommit.run(session, request, writes, shape)
--- a/hyssopshelf/gateway/tests/test_isolation.py
+++ b/hyssopshelf/gateway/tests/test_isolation.py
@@ -54,7 +54,7 @@
         )
         started = clocks.read_clock()
         reply = await session.answer(request)
-        assert reply.error is execution.fail(reply.error).error
+        assert reply.error is execution.make_error(reply.error).error
         assert reply.error.value == "unavailable"
         assert clocks.read_clock() - started < 1.0
 
--- a/hyssopshelf/gateway/tests/test_memory.py
+++ b/hyssopshelf/gateway/tests/test_memory.py
@@ -56,11 +56,11 @@
     )
 )
 def test_the_total_matches_and_stays_within_the_limit(steps):
-    budget = memory.ByteBudget(limit=5 * memory.COUNTED_BYTES)
+    budget = memory.BufferBudget(limit=5 * memory.COUNTED_BYTES)
     held = {}
     for holder, count in steps:
         held[holder] = count if count > memory.COUNTED_BYTES else 0
-        for closed in budget.hold(holder, count):
+        for closed in budget.update(holder, count):
             held[closed] = 0
         assert budget.total == sum(held.values())
         assert budget.total <= budget.limit
@@ -98,4 +98,4 @@
 
 
 def test_the_limit_follows_the_host():
-    assert memory.find_limit(200) == LIMIT_BYTES
+    assert memory.compute_limit(200) == LIMIT_BYTES
--- a/hyssopshelf/gateway/tests/test_searches.py
+++ b/hyssopshelf/gateway/tests/test_retries.py
@@ -9,13 +9,13 @@
 from hyssopshelf.gateway import (
     blackboard,
     catalog,
-    gates,
+    connection_pools,
+    endpoint_connections,
     gateway,
-    links,
-    searches,
+    retries,
+    session_state,
     sessions,
     statements,
-    states,
 )
 
 STATEMENT_SECONDS = 0.8
@@ -23,7 +23,7 @@
 
 
 class FakeCodec:
-    """Formats messages that the fake links ignore."""
+    """Formats messages that the fake connections ignore."""
 
     def format_request(self, *_) -> bytes:
         return b""
@@ -35,26 +35,26 @@
         return b""
 
 
-class FakeLink:
+class FakeConnection:
     """A connection whose answers come after a time, or never."""
 
     def __init__(self, *, endpoint, answer_after: float | str | None) -> None:
         self.endpoint = endpoint
         self.answer_after = answer_after
-        self.state = states.ConnectionState()
+        self.state = session_state.ConnectionState()
         self.closed = False
         self.direct = True
         self.used_at = 0.0
 
-    async def run(self, state, shape, make_message, deadline):
+    async def run(self, state, shape, build_message, deadline):
         if self.answer_after == "reset":
             await asyncio.sleep(0.001)
             self.close()
-            raise links.LinkError("ConnectionResetError")
+            raise endpoint_connections.EndpointConnectionError("ConnectionResetError")
         if self.answer_after is None:
             await asyncio.sleep(max(0.0, deadline - clocks.read_clock()))
             self.close()
-            raise links.LinkError("no answer in time")
+            raise endpoint_connections.EndpointConnectionError("no answer in time")
         await asyncio.sleep(self.answer_after)
         return statements.Reply(position=statements.LogPosition(1, 1), state=b"I")
 
@@ -69,12 +69,12 @@
         self.behaviours = behaviours
         self.opened: list[str] = []
 
-    async def open_link(self, endpoint, codec, seconds):
+    async def open_connection(self, endpoint, codec, seconds):
         self.opened.append(endpoint.id)
         behaviour = self.behaviours[endpoint.id]
         if isinstance(behaviour, str) and behaviour != "reset":
-            raise links.LinkError(behaviour, sent=False)
-        return FakeLink(endpoint=endpoint, answer_after=behaviour)
+            raise endpoint_connections.EndpointConnectionError(behaviour, sent=False)
+        return FakeConnection(endpoint=endpoint, answer_after=behaviour)
 
 
 def make_gateway(read_rule=catalog.ReadRule.PRIMARY):
@@ -141,7 +141,7 @@
 @pytest.fixture
 def endpoints(monkeypatch):
     found = FakeEndpoints({})
-    monkeypatch.setattr(links, "open_link", found.open_link)
+    monkeypatch.setattr(endpoint_connections, "open_connection", found.open_connection)
     return found
 
 
@@ -164,8 +164,8 @@
         unknown = exceptions.ErrorKind.OUTCOME_UNKNOWN
         assert [reply.error for reply, _ in answers] == [unknown] + [None] * 11
         assert max(seconds for _, seconds in answers[1:]) < 0.6
-        assert serving.gates["one"].queue.waiting == 0
-        assert serving.gates["one"].opening == 0
+        assert serving.connection_pools["one"].queue.waiting == 0
+        assert serving.connection_pools["one"].opening == 0
 
     asyncio.run(scenario())
 
@@ -203,7 +203,7 @@
         endpoints.behaviours["one"] = 0.005
         reply, seconds = await asked
         assert reply.error is None
-        assert seconds < 0.2 + 2 * searches.RETRY_PAUSE_SECONDS
+        assert seconds < 0.2 + 2 * retries.RETRY_PAUSE_SECONDS
 
     asyncio.run(scenario())
 
@@ -234,7 +234,7 @@
     asyncio.run(scenario())
 
 
-def test_an_answer_is_not_held_up_by_a_second_offer(endpoints):
+def test_an_answer_is_not_held_up_by_a_hedge(endpoints):
     """A read that is offered again and queues returns with its first answer."""
     endpoints.behaviours = {"one": 0.3}
 
@@ -248,7 +248,7 @@
         assert reply.error is None
         assert seconds < 0.4
         await asyncio.gather(*others)
-        assert serving.gates["one"].queue.running == 0
+        assert serving.connection_pools["one"].queue.running == 0
 
     asyncio.run(scenario())
 
@@ -260,18 +260,18 @@
     async def scenario():
         serving = make_gateway()
         lead(serving, "one", 1)
-        gate = serving.get_local_gate(serving.board.endpoints["one"])
-        gate.view = attrs.evolve(gate.view, slots=4)
+        pool = serving.get_local_pool(serving.board.endpoints["one"])
+        pool.view = attrs.evolve(pool.view, slots=4)
         await asyncio.gather(*(ask(serving, "WRITE a 1") for _ in range(8)))
-        assert len(gate.open_links) == 4
+        assert len(pool.open_connections) == 4
         opened = clocks.read_clock()
-        for link in gate.open_links:
-            link.used_at = opened - gates.IDLE_SECONDS
+        for connection in pool.open_connections:
+            connection.used_at = opened - connection_pools.IDLE_SECONDS
         for _ in range(6):
             await ask(serving, "WRITE a 1")
-            next(reversed(gate.idle)).used_at = clocks.read_clock()
-        gate.close_surplus(clocks.read_clock())
-        assert len(gate.open_links) == 1
+            next(reversed(pool.idle)).used_at = clocks.read_clock()
+        pool.close_surplus(clocks.read_clock())
+        assert len(pool.open_connections) == 1
 
     asyncio.run(scenario())
 
@@ -289,8 +289,8 @@
         )
         for number in range(40):
             endpoints.behaviours["two"] = "reset" if number % 2 else 0.001
-            gate = serving.get_local_gate(serving.board.endpoints["two"])
-            gate.close_idle(0, clocks.read_clock())
+            pool = serving.get_local_pool(serving.board.endpoints["two"])
+            pool.close_idle(0, clocks.read_clock())
             serving.board.get_health("two").avoid_until = 0.0
             reply, _ = await ask(serving, "READ a")
             assert reply.error is None
@@ -333,14 +333,14 @@
         lead(serving, "one", 1)
         asked = [asyncio.create_task(ask(serving, "WRITE a 1")) for _ in range(3)]
         await asyncio.sleep(0.05)
-        gate = serving.gates["one"]
-        for item in gate.queue.expire(clocks.read_clock() + 10.0):
-            gate._refuse(item, "cannot start before its deadline")
+        pool = serving.connection_pools["one"]
+        for item in pool.queue.expire(clocks.read_clock() + 10.0):
+            pool._refuse(item, "cannot start before its deadline")
         for task in asked[1:]:
             task.cancel()
         await asyncio.wait(asked[1:])
-        assert gate.opening == 0
-        assert gate.queue.waiting == 0
+        assert pool.opening == 0
+        assert pool.queue.waiting == 0
         await asked[0]
 
     asyncio.run(scenario())
--- a/hyssopshelf/gateway/tests/test_routing.py
+++ b/hyssopshelf/gateway/tests/test_routing.py
@@ -57,9 +57,20 @@
     return board
 
 
-def choose(board, route=None, own=None, load=lambda _: 0.0, excluded=frozenset()):
+def choose(
+    board,
+    route=None,
+    position=None,
+    estimate_wait=lambda _: 0.0,
+    excluded=frozenset(),
+):
     return routing.list_candidates(
-        board, route or make_route(), own, load, set(excluded), NOW
+        board,
+        route or make_route(),
+        position,
+        estimate_wait,
+        set(excluded),
+        NOW,
     )
 
 
@@ -75,12 +86,12 @@
 
 def test_own_writes_raise_the_position():
     route = make_route(catalog.ReadRule.OWN_WRITES)
-    best = choose(make_board(), route, own=POSITION(1, 9))[0]
+    best = choose(make_board(), route, position=POSITION(1, 9))[0]
     assert best.position == POSITION(1, 9)
 
 
 def test_bounded_reads_ignore_own_writes():
-    assert choose(make_board(), own=POSITION(1, 9))[0].position == POSITION(1, 7)
+    assert choose(make_board(), position=POSITION(1, 9))[0].position == POSITION(1, 7)
 
 
 def test_no_replica_is_used_without_a_recent_observation():
@@ -107,10 +118,10 @@
 
 
 def test_a_congested_near_replica_sends_reads_away():
-    def load(endpoint: str) -> float:
+    def estimate_wait(endpoint: str) -> float:
         return 0.5 if endpoint == "near" else 0.0
 
-    assert choose(make_board(), load=load)[0].endpoint.id != "near"
+    assert choose(make_board(), estimate_wait=estimate_wait)[0].endpoint.id != "near"
 
 
 def test_a_failing_endpoint_is_the_last_choice_and_stays_one():
@@ -164,14 +175,14 @@
     budget = hedging.HedgeBudget()
     made = 0
     for _ in range(2000):
-        budget.earn()
-        made += budget.spend()
+        budget.deposit()
+        made += budget.try_withdraw()
     assert made <= hedging.BUDGET_BURST + 2000 * hedging.BUDGET_SHARE + 1
 
 
 def test_a_second_offer_waits_longer_where_answers_take_longer():
-    assert hedging.find_patience(0.0) == hedging.SHORTEST_SECONDS
-    assert hedging.find_patience(0.1) > 0.5
+    assert hedging.find_hedge_delay(0.0) == hedging.MINIMUM_DELAY_SECONDS
+    assert hedging.find_hedge_delay(0.1) > 0.5
 
 
 def test_a_lagging_replica_is_asked_rarely_and_used_again_soon():
@@ -211,5 +222,5 @@
     endpoint_health.record_lag(board.get_health("near"), POSITION(1, 7), NOW)
     assert choose(board)[0].endpoint.id == "near"
     route = make_route(catalog.ReadRule.OWN_WRITES)
-    found = choose(board, route, own=POSITION(1, 9))
+    found = choose(board, route, position=POSITION(1, 9))
     assert "near" not in [c.endpoint.id for c in found]
--- a/hyssopshelf/gateway/transactions.py
+++ b/hyssopshelf/gateway/transactions.py
@@ -3,7 +3,13 @@
 import attrs
 
 from hyssopshelf import clocks, exceptions
-from hyssopshelf.gateway import catalog, execution, gates, links, statements
+from hyssopshelf.gateway import (
+    catalog,
+    connection_pools,
+    endpoint_connections,
+    execution,
+    statements,
+)
 
 _KIND = exceptions.ErrorKind
 
@@ -14,7 +20,7 @@
 
     Attributes
     ----------
-    gate, link : Gate and Link or None
+    pool, connection : ConnectionPool and EndpointConnection or None
         Where it runs; None before its first statement.
     grant_version : int
         Version of the belief in the primary under which it started, 0 on
@@ -27,8 +33,8 @@
 
     read_only: bool
     route: catalog.Route
-    gate: gates.Gate | None = None
-    link: links.Link | None = None
+    pool: connection_pools.ConnectionPool | None = None
+    connection: endpoint_connections.EndpointConnection | None = None
     grant_version: int = 0
     wrote: bool = False
     idle_since: float = 0.0
@@ -44,130 +50,132 @@
     """
     transaction = session.transaction
     deadline = clocks.read_clock() + transaction.route.statement_seconds
-    turn = None
-    if transaction.link is None:
-        turn = await _start(session, transaction, deadline)
-        if isinstance(turn, statements.Reply):
+    checkout = None
+    if transaction.connection is None:
+        checkout = await _start(session, transaction, deadline)
+        if isinstance(checkout, statements.Reply):
             session.abort()
-            return turn
+            return checkout
     commits_writes = commit and transaction.wrote
     if (commits_writes or writes) and not execution.can_acknowledge(
         session.gateway, transaction.route.database, transaction.grant_version
     ):
-        if turn is not None:
-            transaction.gate.leave(turn)
-        session.trail.add(transaction.gate.endpoint.id, "belief lapsed")
+        if checkout is not None:
+            transaction.pool.release_slot(checkout)
+        session.trace.add(transaction.pool.endpoint.id, "belief lapsed")
         session.abort()
-        return execution.fail(_KIND.ABORTED, "primary may have changed")
+        return execution.make_error(_KIND.ABORTED, "primary may have changed")
     try:
-        reply = await _send(session, request, shape, turn, deadline, commits_writes)
-    except gates.RefusalError as refusal:
+        reply = await _send(session, request, shape, checkout, deadline, commits_writes)
+    except connection_pools.RefusalError as refusal:
         session.abort()
-        return execution.fail(_KIND.ABORTED, refusal.reason)
-    except links.LinkError as error:
+        return execution.make_error(_KIND.ABORTED, refusal.reason)
+    except endpoint_connections.EndpointConnectionError as error:
         session.abort()
         unknown = commits_writes and error.sent
         kind = _KIND.OUTCOME_UNKNOWN if unknown else _KIND.ABORTED
-        return execution.fail(kind, error.reason)
+        return execution.make_error(kind, error.reason)
     except BaseException:
-        transaction.link.close()
+        transaction.connection.close()
         session.abort()
         raise
     if reply.error is None:
-        session.trail.endpoint = transaction.gate.endpoint.id
+        session.trace.endpoint = transaction.pool.endpoint.id
         return reply
     session.abort()
     if commits_writes and reply.error not in execution.NOT_RUN:
-        return execution.fail(_KIND.OUTCOME_UNKNOWN, reply.error.value)
-    return execution.fail(_KIND.ABORTED, reply.error.value)
+        return execution.make_error(_KIND.OUTCOME_UNKNOWN, reply.error.value)
+    return execution.make_error(_KIND.ABORTED, reply.error.value)
 
 
-async def _send(session, request, shape, turn, deadline, commits_writes: bool):
+async def _send(session, request, shape, checkout, deadline, commits_writes: bool):
     """Send a statement on the transaction's connection and return its reply."""
     gateway = session.gateway
     transaction = session.transaction
-    gate, link = transaction.gate, transaction.link
-    if turn is None:
+    pool, connection = transaction.pool, transaction.connection
+    if checkout is None:
         try:
-            turn = await gate.enter(
-                transaction.route.rank, deadline, session.state, link
+            checkout = await pool.acquire(
+                transaction.route.rank, deadline, session.state, connection
             )
-        except gates.RefusalError as refusal:
-            session.trail.add(gate.endpoint.id, f"refused ({refusal.reason})")
+        except connection_pools.RefusalError as refusal:
+            session.trace.add(pool.endpoint.id, f"refused ({refusal.reason})")
             raise
     if commits_writes:
-        gateway.start_write(gate.endpoint.database, transaction.grant_version)
+        gateway.start_write(pool.endpoint.database, transaction.grant_version)
     sent_at = clocks.read_clock()
-    make_message = execution.make_message(session, request, None)
+    build_message = execution.make_message_builder(session, request, None)
     try:
         reply = await execution.exchange(
-            gateway, gate, link, session.state, shape, make_message, deadline
+            gateway, pool, connection, session.state, shape, build_message, deadline
         )
-    except links.LinkError as error:
-        session.trail.add(gate.endpoint.id, error.reason)
+    except endpoint_connections.EndpointConnectionError as error:
+        session.trace.add(pool.endpoint.id, error.reason)
         raise
     finally:
         if commits_writes:
-            gateway.end_write(gate.endpoint.database, transaction.grant_version)
-        gate.leave(turn)
+            gateway.end_write(pool.endpoint.database, transaction.grant_version)
+        pool.release_slot(checkout)
     transaction.idle_since = clocks.read_clock()
     if reply.error is not None:
-        session.trail.add(gate.endpoint.id, reply.error.value)
+        session.trace.add(pool.endpoint.id, reply.error.value)
     elif transaction.grant_version:
-        execution.observe(gateway, gate, transaction.grant_version, reply, sent_at)
+        execution.record_observation(
+            gateway, pool, transaction.grant_version, reply, sent_at
+        )
     return reply
 
 
 async def _start(session, transaction: Transaction, deadline: float):
-    """Open the transaction at an endpoint; return its turn or a reply."""
+    """Open the transaction at an endpoint; return its checkout or a reply."""
     route = transaction.route
-    search = execution.start_search(route, reads=transaction.read_only)
-    reply = execution.fail(_KIND.UNAVAILABLE)
+    retry = execution.make_retry_state(route, reads=transaction.read_only)
+    reply = execution.make_error(_KIND.UNAVAILABLE)
     for _ in range(execution.MAXIMUM_ATTEMPTS):
-        entered = await execution.enter(session, route, deadline, search)
-        if isinstance(entered, statements.Reply):
-            return entered
-        reply = await _begin(session, transaction, entered, deadline)
+        reservation = await execution.reserve(session, route, deadline, retry)
+        if isinstance(reservation, statements.Reply):
+            return reservation
+        reply = await _begin(session, transaction, reservation, deadline)
         if reply.error is None:
-            return entered.turn
-        search.record_failure(
-            entered.gate.endpoint.id,
-            entered.version,
+            return reservation.checkout
+        retry.record_failure(
+            reservation.pool.endpoint.id,
+            reservation.version,
             reply.error,
             clocks.read_clock(),
         )
-    return execution.fail(_KIND.UNAVAILABLE, reply.error.value)
+    return execution.make_error(_KIND.UNAVAILABLE, reply.error.value)
 
 
-async def _begin(session, transaction: Transaction, entered, deadline: float):
+async def _begin(session, transaction: Transaction, reservation, deadline: float):
     gateway = session.gateway
-    gate, link = entered.gate, entered.turn.link
+    pool, connection = reservation.pool, reservation.checkout.connection
     message = gateway.endpoint_codec.format_begin(
-        transaction.read_only, entered.candidate.position
+        transaction.read_only, reservation.candidate.position
     )
     usable = False
     begun = False
     try:
         reply = await execution.exchange(
-            gateway, gate, link, session.state, None, lambda _: message, deadline
+            gateway, pool, connection, session.state, None, lambda _: message, deadline
         )
         usable = True
         begun = reply.error is None
-    except links.LinkError as error:
-        session.trail.add(gate.endpoint.id, error.reason)
-        return execution.fail(_KIND.UNAVAILABLE, error.reason)
+    except endpoint_connections.EndpointConnectionError as error:
+        session.trace.add(pool.endpoint.id, error.reason)
+        return execution.make_error(_KIND.UNAVAILABLE, error.reason)
     finally:
         if not begun:
             if usable:
-                gate.release_link(link)
+                pool.release_connection(connection)
             else:
-                gate.discard_link(link)
-            gate.leave(entered.turn)
-    execution.record_freshness(gateway, entered, reply)
+                pool.discard_connection(connection)
+            pool.release_slot(reservation.checkout)
+    execution.record_freshness(gateway, reservation, reply)
     if not begun:
-        reason = execution.describe_error(reply, entered.candidate.position)
-        session.trail.add(gate.endpoint.id, f"begin {reason}")
+        reason = execution.describe_error(reply, reservation.candidate.position)
+        session.trace.add(pool.endpoint.id, f"begin {reason}")
         return reply
-    transaction.gate, transaction.link = gate, link
-    transaction.grant_version = entered.version
+    transaction.pool, transaction.connection = pool, connection
+    transaction.grant_version = reservation.version
     return reply
