--- a/hyssopshelf/authority/member.py
+++ b/hyssopshelf/authority/member.py
@@ -7,7 +7,7 @@
 
 from hyssopshelf import clocks, logs
 from hyssopshelf.authority import assignments, exchange, shares, timing
-from hyssopshelf.gateway import boards, statements
+from hyssopshelf.gateway import blackboard, statements
 
 MAXIMUM_OBSERVATION_AGE_SECONDS = 1.0
 """Age above which an observation of a primary's log is not worth reporting."""
@@ -23,7 +23,7 @@
 
 
 @attrs.define(kw_only=True)
-class Documents:
+class DocumentCache:
     """Newest documents that a node knows, as the store held them.
 
     Attributes
@@ -53,8 +53,8 @@
     identity : MemberRecord
         This node.
     gateway : Gateway
-        Whose board receives the tenures.
-    documents : Documents
+        Whose board receives the primary grants.
+    document_cache : DocumentCache
         Newest documents; shared with the coordinator.
     apply_document : callable
         Takes ``configuration`` or ``registry`` and puts the document in force.
@@ -63,15 +63,15 @@
     """
 
     def __init__(
-        self, *, identity, gateway, documents, apply_document, send, reset
+        self, *, identity, gateway, document_cache, apply_document, send, reset
     ) -> None:
         self.identity = identity
         self.gateway = gateway
-        self.documents = documents
+        self.document_cache = document_cache
         self.apply_document = apply_document
         self.send = send
         self.reset = reset
-        self.coordinator: assignments.CoordinatorRecord | None = None
+        self.coordinator_record: assignments.CoordinatorRecord | None = None
         self.epoch = 0
         self.assignments = assignments.Assignments()
         self.members: dict[str, assignments.MemberRecord] = {}
@@ -95,7 +95,7 @@
         """Take a node as the coordinator if its epoch is the newest."""
         if record.epoch < self.epoch:
             return
-        if self.coordinator != record:
+        if self.coordinator_record != record:
             logs.write(
                 logs.LogEvent.COORDINATOR_FOLLOWED,
                 {
@@ -109,11 +109,11 @@
             self.store_age_at = float("-inf")
             self.followed_at = clocks.read_clock()
         self.epoch = record.epoch
-        self.coordinator = record
+        self.coordinator_record = record
 
     def ping(self) -> None:
         """Send a ping to the coordinator."""
-        record = self.coordinator
+        record = self.coordinator_record
         if record is None or record.host == self.identity.host:
             return
         now = clocks.read_clock()
@@ -133,7 +133,7 @@
             if now - at < timing.GRANT_SECONDS
         }
         self._sent[self._sequence] = now
-        held = self.documents
+        document_cache = self.document_cache
         message = exchange.Ping(
             sequence=self._sequence,
             incarnation=self.identity.incarnation,
@@ -143,9 +143,9 @@
             held=now - self._stamped_at if self._stamp else 0.0,
             promises=promises,
             assignments_version=self.assignments.version,
-            configuration_version=held.configuration_version,
-            registry_version=held.registry_version,
-            members_version=held.members_version,
+            configuration_version=document_cache.configuration_version,
+            registry_version=document_cache.registry_version,
+            members_version=document_cache.members_version,
             holders_version=self.holders_version,
             shares_version=shares.find_version(self.gateway.shares),
             capacity=self.capacity,
@@ -168,7 +168,7 @@
         """Apply an answer of the coordinator."""
         sent_at = self._sent.pop(pong.sequence, None)
         now = clocks.read_clock()
-        record = self.coordinator
+        record = self.coordinator_record
         if sent_at is None or record is None or record.host != host:
             return
         if pong.epoch > self.epoch:
@@ -196,7 +196,7 @@
                 },
             )
         self.answered_at = now
-        self.apply_tenures(sent_at + timing.GRANT_SECONDS, pong.released)
+        self.apply_grants(sent_at + timing.GRANT_SECONDS, pong.released)
         merge_observations(self.gateway.board, pong.observations, sent_at)
         if pong.shares is not None:
             self.gateway.apply_shares(pong.shares)
@@ -211,8 +211,8 @@
         """Use a large configuration and pass it on to the members of this place."""
         if document.epoch < self.epoch:
             return
-        held = self.documents
-        if document.version > held.configuration_version:
+        document_cache = self.document_cache
+        if document.version > document_cache.configuration_version:
             self.apply_document("configuration", zlib.decompress(document.data))
         if not document.relay:
             return
@@ -230,32 +230,35 @@
         }
 
     def _apply_documents(self, pong: exchange.Pong, now: float) -> None:
-        held = self.documents
+        document_cache = self.document_cache
         if pong.assignments is not None:
             newer = assignments.decode_assignments(pong.assignments)
             if newer.version > self.assignments.version:
                 self.assignments = newer
         if pong.members is not None:
-            held.members, held.members_version = pong.members, pong.members_version
+            document_cache.members, document_cache.members_version = (
+                pong.members,
+                pong.members_version,
+            )
             self.members = decode_members(pong.members)
         if pong.configuration is not None:
             self.apply_document("configuration", zlib.decompress(pong.configuration))
-        if pong.configuration_version > held.configuration_version:
+        if pong.configuration_version > document_cache.configuration_version:
             if self._missing_since is None:
                 self._missing_since = now
         else:
             self._missing_since = None
         read_at = now - pong.store_age
-        if pong.registry is not None and read_at > held.registry_read_at:
-            held.registry_read_at = read_at
+        if pong.registry is not None and read_at > document_cache.registry_read_at:
+            document_cache.registry_read_at = read_at
             self.apply_document("registry", zlib.decompress(pong.registry))
 
-    def apply_tenures(self, valid_until: float, closed: tuple[str, ...]) -> None:
+    def apply_grants(self, valid_until: float, closed: tuple[str, ...]) -> None:
         """Renew the beliefs in all primaries that may be used."""
         board = self.gateway.board
         changed = False
         for database, entry in self.assignments.databases.items():
-            before = board.tenures.get(database)
+            before = board.primary_grants.get(database)
             usable = (
                 not entry.promoting
                 and database not in closed
@@ -265,25 +268,25 @@
                 continue
             if before is not None and before.version > entry.version:
                 continue
-            board.tenures[database] = boards.Tenure(
+            board.primary_grants[database] = blackboard.PrimaryGrant(
                 endpoint=entry.endpoint,
                 term=entry.term,
                 version=entry.version,
                 valid_until=valid_until,
             )
             if before is None or before.version != entry.version:
-                self._start_tenure(database, entry)
+                self._adopt_primary(database, entry)
                 changed = True
             elif before.valid_until < clocks.read_clock():
                 changed = True
         if changed:
             self.gateway.notify()
 
-    def _start_tenure(self, database: str, entry) -> None:
+    def _adopt_primary(self, database: str, entry) -> None:
         board = self.gateway.board
-        board.get_log(database).start_term(entry.term)
-        board.closing.discard(database)
-        self.gateway.supersede(database)
+        board.get_positions(database).start_term(entry.term)
+        board.releasing.discard(database)
+        self.gateway.cancel_waiting(database)
         logs.write(
             logs.LogEvent.PRIMARY_FOLLOWED,
             {
@@ -299,20 +302,20 @@
         """Stop using a primary; return when nothing is acknowledged from it."""
         board = self.gateway.board
         self.released[database] = max(version, self.released.get(database, 0))
-        tenure = board.tenures.get(database)
-        if tenure is None or tenure.version > version:
+        grant = board.primary_grants.get(database)
+        if grant is None or grant.version > version:
             return
-        board.closing.add(database)
+        board.releasing.add(database)
         deadline = clocks.read_clock() + finish
         while self.gateway.has_open_writes(database, version):
             if clocks.read_clock() >= deadline:
                 break
             await asyncio.sleep(RELEASE_CHECK_SECONDS)
-        tenure = board.tenures.get(database)
-        if tenure is not None and tenure.version <= version:
-            del board.tenures[database]
-            self.gateway.supersede(database)
-        board.closing.discard(database)
+        grant = board.primary_grants.get(database)
+        if grant is not None and grant.version <= version:
+            del board.primary_grants[database]
+            self.gateway.cancel_waiting(database)
+        board.releasing.discard(database)
         logs.write(
             logs.LogEvent.PRIMARY_RELEASED, {"database": database, "version": version}
         )
@@ -331,13 +334,13 @@
     Each is a tuple of assignment version, term, number and age in seconds.
     """
     found = {}
-    for database, tenure in board.tenures.items():
-        own = board.get_log(database).own
+    for database, grant in board.primary_grants.items():
+        own = board.get_positions(database).latest_own
         if own is None or now - own[0] > MAXIMUM_OBSERVATION_AGE_SECONDS:
             continue
         sent_at, position = own
         found[database] = (
-            tenure.version,
+            grant.version,
             position.term,
             position.number,
             round(now - sent_at, 4),
@@ -352,11 +355,11 @@
     the ping that they answer was sent.
     """
     for database, (version, term, number, age) in observations.items():
-        tenure = board.tenures.get(database)
-        if tenure is None or tenure.version != version:
+        grant = board.primary_grants.get(database)
+        if grant is None or grant.version != version:
             continue
         position = statements.LogPosition(term, number)
-        board.get_log(database).observe(position, sent_at - age - ROUNDING_SECONDS)
+        board.get_positions(database).add(position, sent_at - age - ROUNDING_SECONDS)
 
 
 def collect_reach(board, now: float) -> dict[str, exchange.Reach]:
--- a/hyssopshelf/gateway/tests/test_isolation.py
+++ b/hyssopshelf/gateway/tests/test_isolation.py
@@ -5,7 +5,7 @@
 from hyssopshelf import clocks
 from hyssopshelf.authority import timing
 from hyssopshelf.gateway import (
-    boards,
+    blackboard,
     catalog,
     execution,
     gateway,
@@ -30,9 +30,9 @@
 
 def test_a_request_is_refused_at_once_without_hope_for_a_primary():
     async def scenario():
-        board = boards.Board(place="a", region="r", regions={"a": "r"})
+        board = blackboard.GatewayBlackboard(place="a", region="r", regions={"a": "r"})
         board.isolated = True
-        board.configuration = catalog.Catalog(
+        board.configuration = catalog.Configuration(
             version=1,
             routes={
                 "db": catalog.Route(
@@ -47,14 +47,14 @@
             connections={"db": 4},
             limits=catalog.Limits(),
         )
-        serving = gateway.Gateway(board=board, endpoint_wire=None)
+        serving = gateway.Gateway(board=board, endpoint_codec=None)
         session = sessions.Session(gateway=serving, name="db")
         request = statements.Request(
             id=b"1", text=b"WRITE a b", statement=statements.Access(writes=True)
         )
         started = clocks.read_clock()
         reply = await session.answer(request)
-        assert reply.error is execution.fail(reply.error).error
+        assert reply.error is execution.make_error(reply.error).error
         assert reply.error.value == "unavailable"
         assert clocks.read_clock() - started < 1.0
 
--- a/hyssopshelf/gateway/tests/test_memory.py
+++ b/hyssopshelf/gateway/tests/test_memory.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hyssopshelf.gateway import boards, gateway, memory, server
+from hyssopshelf.gateway import blackboard, gateway, memory, server
 
 LIMIT_BYTES = 40 * 1024 * 1024
 """Limit on the smallest known host, which has 200 MB."""
@@ -36,7 +36,7 @@
     close = abort
 
 
-class FakeWire:
+class FakeCodec:
     """Accepts messages of at most 1 MiB."""
 
     maximum_bytes = 1024 * 1024
@@ -56,11 +56,11 @@
     )
 )
 def test_the_total_matches_and_stays_within_the_limit(steps):
-    budget = memory.ByteBudget(limit=5 * memory.COUNTED_BYTES)
+    budget = memory.BufferBudget(limit=5 * memory.COUNTED_BYTES)
     held = {}
     for holder, count in steps:
         held[holder] = count if count > memory.COUNTED_BYTES else 0
-        for closed in budget.hold(holder, count):
+        for closed in budget.update(holder, count):
             held[closed] = 0
         assert budget.total == sum(held.values())
         assert budget.total <= budget.limit
@@ -70,10 +70,10 @@
     """Each client is within its own bound; all of them are not."""
 
     async def scenario():
-        board = boards.Board(place="a", region="r", regions={"a": "r"})
+        board = blackboard.GatewayBlackboard(place="a", region="r", regions={"a": "r"})
         listener = server.ClientServer(
-            gateway=gateway.Gateway(board=board, endpoint_wire=None),
-            wire=FakeWire(),
+            gateway=gateway.Gateway(board=board, endpoint_codec=None),
+            codec=FakeCodec(),
             limit=LIMIT_BYTES,
         )
         usual = [connect(listener) for _ in range(200)]
@@ -98,4 +98,4 @@
 
 
 def test_the_limit_follows_the_host():
-    assert memory.find_limit(200) == LIMIT_BYTES
+    assert memory.compute_limit(200) == LIMIT_BYTES
