--- a/hyssopshelf/configuration/__init__.py
+++ b/hyssopshelf/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Declared resources, their validation, versioned documents and their spread."""
+"""Declared resources, their validation, and replication of versioned documents."""
--- a/hyssopshelf/configuration/application.py
+++ b/hyssopshelf/configuration/application.py
@@ -1,4 +1,4 @@
-"""Application of a document to the tables that the controllers use."""
+"""Applies a document to the lookup tables and records of the node."""
 
 from hyssopshelf import blackboard, invariants, logs
 from hyssopshelf.configuration import resources, views
@@ -7,7 +7,7 @@
 def apply_document(
     board, document: resources.Document, now: float, source: str = ""
 ) -> None:
-    """Put a document in force; endpoints and databases that stay keep their state.
+    """Put a document in force; endpoints and databases it keeps retain their state.
 
     Parameters
     ----------
@@ -78,9 +78,9 @@
 def _remove_missing(
     board, pool: str, old: views.PoolView | None, new: views.PoolView | None
 ) -> None:
-    """Remove the records that the old view has and the new one lacks.
+    """Remove the records of databases and endpoints that the new view lacks.
 
-    Only the pool's own names are looked at: a starting node applies thousands
+    Only names of this pool are compared: a starting node applies thousands
     of documents, and the tables then hold tens of thousands of records.
     """
     old_databases, old_endpoints = _list_names(pool, old)
--- a/hyssopshelf/configuration/bills.py
+++ b/hyssopshelf/configuration/bills.py
@@ -1,4 +1,4 @@
-"""Answers to requests for the bill of a pool, from the store."""
+"""Answers requests for the bill of a pool from the stored document."""
 
 from hyssopshelf import base, exceptions, platform
 from hyssopshelf.configuration import declarations, requests
@@ -8,8 +8,8 @@
 def start(board, caller: str, request: requests.Bill, now: float) -> None:
     """Read the stored bill of a pool.
 
-    Only the writer of a pool knows all accounts, so each node answers from the
-    store.
+    Only the node that writes a pool's bill knows all accounts, so every node
+    answers from the store.
     """
     call_id = board.next_id()
     board.configuration.bill_reads[call_id] = (caller, request.pool)
@@ -18,7 +18,7 @@
 
 
 def take_store_answer(event: base.StoreAnswered, board, now: float) -> bool:
-    """Answer the request that a store call was made for."""
+    """Answer the request behind a store call; return whether there is one."""
     read = board.configuration.bill_reads.pop(event.call_id, None)
     if read is None:
         return False
--- a/hyssopshelf/configuration/controller.py
+++ b/hyssopshelf/configuration/controller.py
@@ -1,7 +1,8 @@
-"""The configuration controllers as one, for the node.
+"""Entry points of the configuration controllers, called by the node.
 
-Several controllers call the store, so an answer is offered to each; the event
-class ``StoreAnswered`` is registered by the node.
+Several controllers call the store, so each answer is passed to them in turn
+until one recognises the call. The node registers the handler of the event
+``StoreAnswered``.
 """
 
 from hyssopshelf import base
@@ -26,5 +27,5 @@
 
 
 def take_store_answer(event: base.StoreAnswered, board, now: float) -> bool:
-    """Take an answer of the store; return whether it belongs to configuration."""
+    """Handle an answer of the store; return whether a controller here made the call."""
     return any(module.take_store_answer(event, board, now) for module in _STORE_CALLERS)
--- a/hyssopshelf/configuration/documents.py
+++ b/hyssopshelf/configuration/documents.py
@@ -1,4 +1,7 @@
-"""Pure functions on the versioned document of a pool."""
+"""Change, compare and checksum the versioned document of a pool.
+
+The functions are pure: they keep no state and do no I/O.
+"""
 
 import hashlib
 import json
@@ -13,7 +16,7 @@
 """Prefix of the store keys that hold documents."""
 
 MAXIMUM_CHANGE_IDS = 64
-"""Number of change ids that a document keeps to recognise a repeated change."""
+"""Number of change ids that a document keeps to recognise a retried change."""
 
 _CHECKSUM_BYTES = 8
 
@@ -25,7 +28,7 @@
     Attributes
     ----------
     resource_version : int
-        Version that the caller has seen, 0 if it does not say.
+        Version that the caller has read, 0 if it gives none.
     """
 
     kind: resources.ResourceKind
@@ -40,14 +43,14 @@
     Attributes
     ----------
     change_id : str
-        The caller's name for the changes.
+        Identifier chosen by the caller; it makes a retry idempotent.
     put : tuple of Resource
         Resources to create or replace.
     remove : tuple of Reference
         Resources to delete.
     base_version : int
-        Document version that the caller has seen. It stands for the resource
-        version of each resource that carries none.
+        Document version that the caller has read; the resource version of
+        each resource that gives none.
     """
 
     pool: str
@@ -59,7 +62,7 @@
 
 @attrs.frozen(kw_only=True)
 class Conflict:
-    """A change was made to another state than the caller has seen.
+    """A change that is based on another version than the current one.
 
     Attributes
     ----------
@@ -124,8 +127,8 @@
 def recorded_id(changes: ChangeSet) -> str:
     """Return the change id as documents keep it.
 
-    It includes a fingerprint of the content, so that other changes sent under
-    a used id are made and not mistaken for a repeat.
+    It includes a fingerprint of the content, so that different changes sent
+    under a used id are applied and not taken for a retry.
     """
     plain = [
         [declarations.describe_resource(item) for item in changes.put],
@@ -147,9 +150,9 @@
 def supersedes(new: resources.Document, held: resources.Document | None) -> bool:
     """Return whether a node that holds one document has to apply another one.
 
-    A higher version always does. Two contents with one version come from a
-    store that lost data; every node then keeps the higher checksum, so that
-    all settle on the same content whatever the order of arrival.
+    A higher version always supersedes. Two contents with the same version
+    come from a store that lost data; every node then keeps the one with the
+    higher checksum, so that all converge whatever the order of arrival.
     """
     if held is None or new.version != held.version:
         return held is None or new.version > held.version
@@ -165,9 +168,9 @@
     -------
     Ok(Document)
         The document with its version raised by one, or the same document if
-        it includes the changes already or they alter nothing.
+        it already includes the changes or they change nothing.
     Err(Conflict)
-        A resource has changed since the caller saw it.
+        A resource has changed since the caller read it.
     """
     if contains_change(document, changes):
         return result.Ok(document)
@@ -212,7 +215,7 @@
     current: resources.Resource | None,
     base_version: int,
 ) -> Conflict | None:
-    """Return the conflict of one change, None if it may be made."""
+    """Return the version conflict of one change, None if it can be applied."""
     held = current.resource_version if current is not None else 0
     given = change.resource_version
     if given == held or (given == 0 and held <= base_version):
--- a/hyssopshelf/configuration/peers.py
+++ b/hyssopshelf/configuration/peers.py
@@ -1,14 +1,14 @@
-"""Choice of the hosts that a node exchanges configuration with."""
+"""Selection of the hosts that a node exchanges configuration with."""
 
 from collections.abc import Collection
 
 from hyssopshelf.membership import hosts
 
 RECEIVING = frozenset({"alive", "suspect", "leaving"})
-"""States of hosts that still run statements and need the configuration."""
+"""Membership states of hosts that may run statements and need configuration."""
 
 WATCHERS = 3
-"""Hosts that watch the store. One may be dead and one cut off at a time."""
+"""Hosts that watch the store; tolerates one crashed and one partitioned host."""
 
 _WATCH_KEY = "configuration"
 
@@ -45,10 +45,10 @@
 
 
 def choose_any(board) -> list[str]:
-    """Return one random peer, of the hosts held for dead if no other is left.
+    """Return one random peer, a host considered dead if no other is left.
 
-    A node that was cut off holds all others for dead and still has to find
-    out that it reaches them again.
+    A partitioned node considers all other hosts dead and still has to detect
+    that it can reach them again.
     """
     chosen = choose_peers(board, 1)
     if chosen:
@@ -61,7 +61,7 @@
     """Return this node's position among the watchers, None if it is not one.
 
     Ranking all hosts takes about a millisecond per 1,000 hosts, so the result
-    is kept until the membership changes.
+    is cached until the membership changes.
     """
     version, lowest = board.configuration.watchers
     if version != board.membership.version:
--- a/hyssopshelf/configuration/requests.py
+++ b/hyssopshelf/configuration/requests.py
@@ -17,7 +17,7 @@
     pool : str
         Pool that it addresses.
     remaining_seconds : float
-        Time left when the request arrived.
+        Time left until the deadline when the request arrived.
     """
 
     pool: str
@@ -31,11 +31,11 @@
     Attributes
     ----------
     change_id : str
-        The caller's name for the change; a repeat under the same id is safe.
+        Identifier chosen by the caller; a retry with the same id is idempotent.
     resources : tuple of Resource
         The declared resources.
     base_version : int
-        Document version that the caller has seen, for resources without a
+        Document version that the caller has read, for resources without a
         resource version.
     """
 
@@ -46,7 +46,7 @@
 
 @attrs.frozen(kw_only=True)
 class Delete(ApiRequest):
-    """Delete resources of a pool; no references delete the whole pool."""
+    """Delete resources of a pool; without references, delete the whole pool."""
 
     change_id: str
     references: tuple[documents.Reference, ...] = ()
--- a/hyssopshelf/configuration/resources.py
+++ b/hyssopshelf/configuration/resources.py
@@ -51,14 +51,14 @@
 
 @attrs.frozen(kw_only=True)
 class PoolSpec:
-    """Databases declared together.
+    """Databases declared together, with the limits of their endpoints.
 
     Attributes
     ----------
     databases : tuple of DatabaseSpec
         The databases.
     partners : tuple of str
-        Partners who draw on the pool.
+        Partners whose statements may use the pool.
     slots : int
         Statements that an endpoint runs at the same time.
     connections : int
@@ -82,7 +82,7 @@
     rank : str
         Its rank.
     staleness_seconds : float
-        Greatest age of the data that a bounded read may return.
+        Maximum age, in seconds, of the data that a bounded read may return.
     """
 
     name: str
@@ -99,16 +99,16 @@
 
 @attrs.frozen(kw_only=True)
 class RankSpec:
-    """A class of urgency.
+    """A priority class of statements.
 
     Attributes
     ----------
     order : int
         0 is served first.
     floor : float
-        Part of the service, 0 to 1, that the rank keeps in any flood.
+        Minimum part of the service, 0 to 1, that the rank keeps under overload.
     target_seconds : float
-        Intended time in the queue.
+        Target for the time in the queue, in seconds.
     queue_limit : int
         Statements of the rank that may wait at one endpoint.
     acknowledge : str
--- a/hyssopshelf/configuration/versions.py
+++ b/hyssopshelf/configuration/versions.py
@@ -1,11 +1,11 @@
-"""Versions of the documents in force and digests to compare them by."""
+"""Versions of the documents in force, and digests that detect differences."""
 
 import hashlib
 
 import attrs
 
 BUCKETS = 64
-"""Parts of the pool names that are compared on their own.
+"""Hash buckets of pools; only buckets that differ are listed to a peer.
 
 At 2,900 pools a bucket lists 46 of them (about 2 KB) instead of 130 KB.
 """
@@ -39,7 +39,7 @@
     summaries : dict of str to Summary
         Summary by pool.
     buckets : list of int
-        Exclusive or of the hashes of the summaries of each bucket.
+        XOR of the hashes of the summaries in each bucket.
     """
 
     summaries: dict[str, Summary] = attrs.field(factory=dict)
@@ -51,7 +51,7 @@
         return _hash(",".join(map(str, self.buckets)))
 
     def update(self, summary: Summary) -> None:
-        """Enter the summary of a pool in place of its former one."""
+        """Replace the summary of a pool and update the hash of its bucket."""
         bucket = bucket_of(summary.pool)
         for item in (self.summaries.get(summary.pool), summary):
             if item is not None:
@@ -60,7 +60,7 @@
         self.summaries[summary.pool] = summary
 
     def is_newer(self, summary: Summary) -> bool:
-        """Return whether a summary is of a document that has to be applied.
+        """Return whether a summary describes a document that has to be applied.
 
         The order is that of ``documents.supersedes``: the higher version, then
         the higher checksum.
--- a/hyssopshelf/configuration/views.py
+++ b/hyssopshelf/configuration/views.py
@@ -1,4 +1,4 @@
-"""Lookup tables that the controllers use, derived from a pool's document."""
+"""Lookup tables for routing and scheduling, derived from a pool's document."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen(kw_only=True)
 class PoolView:
-    """What routing and scheduling need to know of a pool.
+    """Lookup tables of one pool for routing and scheduling.
 
     Attributes
     ----------
