--- a/hyssopshelf/configuration/progress.py
+++ b/hyssopshelf/configuration/progress.py
@@ -1,4 +1,4 @@
-"""State of the configuration controllers on the blackboard."""
+"""State that the configuration controllers keep on the blackboard."""
 
 from typing import Any
 
@@ -11,14 +11,14 @@
 
 @attrs.define(kw_only=True)
 class Push:
-    """Offers of one document that are still to be sent.
+    """Pending offers of one document to random peers.
 
     Attributes
     ----------
     rounds : int
         Rounds left; each goes to other random peers.
     informed : set of str
-        Hosts that were told of the version or told it to this node.
+        Hosts that are known to have been offered the version or to hold it.
     """
 
     rounds: int
@@ -39,9 +39,10 @@
     others : list of str
         Peers that offered the same, asked in turn if the first fails.
     deadline : float
-        Time at which the next part is given up.
+        Time at which the request for the next part times out.
     fresh : bool
-        The offer came by push; the node then pushes on in full.
+        The offer announced a new change; the node then sends all rounds of
+        offers itself.
     parts : bytearray
         Compressed data received so far.
     """
@@ -56,7 +57,7 @@
 
 @attrs.define(kw_only=True)
 class Snapshot:
-    """Progress of a starting node.
+    """Progress of a starting node in fetching all documents.
 
     Attributes
     ----------
@@ -65,7 +66,7 @@
     after : str
         Pool name after which the next part starts.
     deadline : float
-        Time at which the peer or the store call is given up.
+        Time at which the request to the peer or the store times out.
     silent, unready, old : int
         Attempts that got no answer, an answer of a node without a snapshot,
         or an answer of a node whose configuration may be old.
@@ -78,7 +79,7 @@
     loaded : bool
         All documents of a peer were received.
     askers : set of str
-        Starting hosts to tell when this node is ready.
+        Starting hosts to notify when this node is ready.
     """
 
     started_at: float | None = None
@@ -97,7 +98,7 @@
 
 @attrs.define(kw_only=True)
 class Repair:
-    """A stored document that a node has to replace by its higher version."""
+    """A stored document that a node has to overwrite with a newer version."""
 
     due: float
     revision: int
@@ -106,22 +107,23 @@
 
 @attrs.define(kw_only=True)
 class StoreWatch:
-    """The watch of a node that reads the store for the others.
+    """State of a node that watches the store on behalf of the others.
 
     Attributes
     ----------
     index : int or None
         Position of the node among the watchers, None if it is not one.
     revision : int or None
-        Revision up to which the store was read, None before the first read.
+        Store revision up to which changes were read, None before the first
+        read and after a failure.
     call_id : str
-        The waiting call, empty if none is.
+        Pending store call, empty if none.
     retry_seconds : float
         Delay after the next failure.
     repairs : dict of str to Repair
         Documents to write back, by pool.
     repair_calls : dict of str to str
-        Running write, by call id, with its pool.
+        Pool of each running write, by call id.
     """
 
     index: int | None = None
@@ -137,7 +139,7 @@
 
 @attrs.define(kw_only=True)
 class StatusQuery:
-    """A question about a version that this node has passed on.
+    """A status query that this node has forwarded to other hosts.
 
     Attributes
     ----------
@@ -146,9 +148,9 @@
     operation : str
         Operation of the resource API that waits for the result.
     waiting : dict of str to tuple of str
-        Hosts asked and the hosts that each has to ask in turn.
+        Hosts queried, with the hosts that each has to query in turn.
     retry_at : float
-        Time at which hosts that did not answer are passed over.
+        Time at which hosts that did not answer are bypassed.
     """
 
     id: str
@@ -175,7 +177,7 @@
     call_id : str
         Running store call, empty if none.
     call_deadline : float
-        Time at which that call is given up.
+        Time at which that call times out.
     next_at : float
         Time of the next read after a failure.
     candidate : Document or None
@@ -208,19 +210,19 @@
     table : VersionTable
         Versions and checksums of the documents in force.
     encoded : dict
-        Compressed form of the documents that were sent last, by pool.
+        Cache of compressed documents, by pool.
     bill_reads : dict
         Caller and pool of the reads of bills, by store call.
     watchers : tuple of (int, tuple of str)
         The hosts that watch the store, with the version of the membership for
         which they were found.
     heard_at : float
-        Time at which a peer or the store was last reached.
+        Time of the last message of a peer or answer of the store.
     reported_old : bool
         The node has logged that its configuration may be old.
     changes : int
-        Number of documents applied; it tells other controllers of a change
-        without a look at all pools.
+        Number of documents applied; other controllers compare it to detect a
+        change without scanning all pools.
     """
 
     table: versions.VersionTable = attrs.field(factory=versions.VersionTable)
--- a/hyssopshelf/configuration/snapshots.py
+++ b/hyssopshelf/configuration/snapshots.py
@@ -1,8 +1,8 @@
-"""The snapshot of all documents that a starting node takes.
+"""Loads a snapshot of all documents on a starting node.
 
-It comes from a peer, or from the store if no peer answers. Before the node is
-ready it compares its digest with further peers, so that a peer that lags
-behind does not take it back to an older version.
+The snapshot comes from a peer, or from the store if no peer answers. Before
+the node becomes ready it compares its digest with further peers, so that a
+peer that lags does not make it revert to an older version.
 """
 
 import attrs
@@ -19,10 +19,10 @@
 ANSWER_TIMEOUT_SECONDS = 0.5
 
 MAXIMUM_SILENT = 3
-"""Peers that may stay silent before the store is read."""
+"""Requests to peers that may time out before the store is read."""
 
 MAXIMUM_OLD = 3
-"""Peers passed over because their configuration may be old."""
+"""Maximum number of peers skipped because their configuration may be old."""
 
 HOST_LIST_SECONDS = 2.0
 """Time that a node without any peer waits for the host list."""
@@ -32,8 +32,8 @@
 UNREADY_LIMIT = 20
 """Answers of starting nodes after which any node may read the store.
 
-When the whole fleet starts, the watchers read the store within a second and
-the others take the snapshot from them; this limit covers watchers that fail.
+When all nodes start together, the watchers read the store within a second and
+the others take the snapshot from them; this limit covers failed watchers.
 """
 
 STORE_TIMEOUT_SECONDS = 5.0
@@ -43,10 +43,10 @@
 CONFIRMING_PEERS = 2
 
 MAXIMUM_ASKERS = 8
-"""Starting nodes that a starting node tells when it is ready."""
+"""Maximum number of starting nodes that a node notifies when it is ready."""
 
 PART_DOCUMENTS = 32
-"""Documents in one part; encoding them takes a few milliseconds of the peer."""
+"""Documents in one part; encoding them takes the peer a few milliseconds."""
 
 
 @messages.register("configuration.snapshot_request")
@@ -92,7 +92,7 @@
 @messages.register("configuration.snapshot_ready")
 @attrs.frozen(kw_only=True)
 class SnapshotReady:
-    """The sender, which had none when it was asked, now has a snapshot."""
+    """Notify a host whose request was refused that the sender is now ready."""
 
 
 @base.receive.register
@@ -105,8 +105,8 @@
         part = SnapshotPart(after=message.after, ready=False)
         dissemination.send(board, host, part)
         return
-    # Taken before the request counts as contact: the question is whether the
-    # documents were kept up to date until now.
+    # Read before the request counts as contact: the flag has to tell whether
+    # the documents were kept up to date until now.
     old = board.configuration.reported_old
     dissemination.note_peer(board, now)
     dissemination.send(board, host, _build_part(board, message.after, old))
@@ -137,7 +137,7 @@
 
 @base.receive.register
 def receive_ready(message: SnapshotReady, board, host, now):
-    """Take the snapshot from a peer that has become ready."""
+    """Request the snapshot from a peer that has become ready."""
     snapshot = board.configuration.snapshot
     busy = snapshot.host or snapshot.call_id or snapshot.loaded
     if not board.configuration_ready and not busy:
@@ -210,7 +210,7 @@
 
 
 def step(board, now: float) -> None:
-    """Go on with the snapshot of a node that is not ready."""
+    """Advance the snapshot of a node that is not ready."""
     if board.configuration_ready:
         return
     snapshot = board.configuration.snapshot
@@ -237,7 +237,7 @@
 
 
 def _finish_confirming(board, now: float) -> None:
-    """Become ready when the awaited peers answered and nothing is being pulled."""
+    """Become ready once peers have confirmed or timed out and no pull is pending."""
     snapshot = board.configuration.snapshot
     waiting = snapshot.confirming and now < snapshot.deadline
     if not waiting and not board.configuration.pulls:
@@ -266,7 +266,7 @@
 
 
 def take_store_answer(event: base.StoreAnswered, board, now: float) -> bool:
-    """Apply the documents of the store; return whether the answer belongs here."""
+    """Apply the stored documents; return whether the call was made here."""
     snapshot = board.configuration.snapshot
     if not event.call_id or event.call_id != snapshot.call_id:
         return False
--- a/hyssopshelf/configuration/status.py
+++ b/hyssopshelf/configuration/status.py
@@ -1,8 +1,8 @@
 """Status of a version: on how many nodes it is in force and where it is missing.
 
-The question goes down a tree of bounded fan-out when an operator asks; nodes do
-not report on their own. A node asks a few hosts and gives each a part of the
-list to ask in turn.
+An operator's query is forwarded down a tree of bounded fan-out; nodes do not
+report unasked. A node queries a few hosts and gives each a part of the list
+to query in turn.
 """
 
 import attrs
@@ -11,20 +11,20 @@
 from hyssopshelf.configuration import dissemination, peers, progress
 
 FAN_OUT = 8
-"""Hosts that one node asks; 5,100 nodes are reached in five levels."""
+"""Hosts that one node queries; 5,100 nodes are reached in five levels."""
 
 RETRY_SHARE = 0.6
-"""Part of its time after which a node passes over silent hosts."""
+"""Fraction of its time after which a node bypasses hosts that did not answer."""
 
 REMAINING_SHARE = 0.85
-"""Part of the time until then that a node gives to the hosts it asks.
+"""Fraction of the time until then that a node gives to the hosts it queries.
 
-A host answers before it is passed over even if a host below it is silent. Of
+A host thus answers before it is bypassed even if a host below it does not. Of
 5 s the fifth level has 0.3 s, ten times the longest round trip.
 """
 
 MAXIMUM_NAMES = 100
-"""Names of hosts in one answer; the numbers are always complete."""
+"""Maximum number of host names in one answer; the counts are always complete."""
 
 
 @messages.register("configuration.status_query")
@@ -74,7 +74,7 @@
 
 @base.receive.register
 def receive_query(message: StatusQuery, board, host, now):
-    """Report the own version and ask the hosts of the own part."""
+    """Record this node's version and query the hosts assigned to it."""
     dissemination.note_peer(board, now)
     _open_query(
         board,
@@ -116,7 +116,7 @@
 def _ask(
     board, query: progress.StatusQuery, hosts: tuple[str, ...], now: float
 ) -> None:
-    """Give each of a few hosts its part of the list."""
+    """Query a few hosts and assign each a part of the list."""
     remaining = (query.retry_at - now) * REMAINING_SHARE
     for index in range(min(FAN_OUT, len(hosts))):
         first, *rest = hosts[index::FAN_OUT]
@@ -133,7 +133,7 @@
 
 @base.receive.register
 def receive_result(message: StatusResult, board, host, now):
-    """Add the answer of a host."""
+    """Add the counts that a host reports."""
     dissemination.note_peer(board, now)
     query = board.configuration.queries.get(message.query_id)
     if query is None or query.waiting.pop(host, None) is None:
@@ -149,7 +149,7 @@
 
 
 def step(board, now: float) -> None:
-    """Pass over silent hosts and close questions whose time is over."""
+    """Bypass hosts that did not answer and close queries at their deadline."""
     for query in list(board.configuration.queries.values()):
         if now >= query.deadline:
             _give_up(query)
@@ -159,10 +159,10 @@
 
 
 def _pass_over(board, query: progress.StatusQuery, now: float) -> None:
-    """Ask the hosts behind silent ones by way of others.
+    """Query the hosts below those that did not answer, through other hosts.
 
-    A host that only leads a slow part answers for nobody any more: its late
-    answer is dropped, so that no node is counted twice.
+    A bypassed host may only be slow; its late answer is ignored, so that no
+    node is counted twice.
     """
     query.retry_at = now + (query.deadline - now) * RETRY_SHARE
     leading = {host: rest for host, rest in query.waiting.items() if rest}
@@ -181,16 +181,16 @@
 
 
 def _give_up(query: progress.StatusQuery) -> None:
-    """Count all hosts that have not answered."""
+    """Count all remaining hosts as silent."""
     for host, rest in query.waiting.items():
         _count_silent(query, (host, *rest))
     query.waiting.clear()
 
 
 def _finish_if_complete(board, query: progress.StatusQuery) -> None:
-    """Answer the parent once all hosts have answered or were given up.
+    """Answer the parent once all hosts have answered or timed out.
 
-    The answer to an operator is picked up by the API controller.
+    The result of an operator's query is collected by the API controller.
     """
     if query.waiting or not query.parent:
         return
--- a/hyssopshelf/configuration/watching.py
+++ b/hyssopshelf/configuration/watching.py
@@ -1,8 +1,8 @@
-"""The watch of the store by a few nodes, and the repair of the store.
+"""Watches the store on a few nodes, and repairs stored documents.
 
-Each node checks for itself whether it is one of the watchers. A watcher passes
-on what the store offers, so that a change whose accepting node died right
-after the commit still reaches the fleet.
+Each node decides locally whether it is one of the watchers. A watcher
+disseminates the changes that it reads, so that a change whose accepting node
+crashed right after the commit still reaches all nodes.
 """
 
 import result
@@ -18,25 +18,25 @@
 )
 
 DECIDE_SECONDS = 1.0
-"""Time between two checks whether this node is a watcher."""
+"""Interval between checks whether this node is a watcher."""
 
 ISOLATED_SECONDS = 3.0
 """Time without a peer after which a node watches the store itself.
 
-It is multiplied by a random number from 1 to 2, so that the nodes of a failed
-network do not all call the store at the same moment.
+It is multiplied by a random factor from 1 to 2, so that after a network
+failure the nodes do not all call the store at the same time.
 """
 
 WAIT_SECONDS = 3.0
-"""Longest wait of one watch; each waits a random part of at least 0.7 of it.
+"""Maximum wait of one watch call; each waits a random 0.7 to 1 of it.
 
-A store that takes a call and answers nothing leaves the watcher blind for this
-time and the 2 s of the store adapter, also after the store is back. Together
+If the store accepts a call and never answers, the watcher sees no changes for
+this time plus the 2 s limit of the store adapter, even if the store recovers. Together
 the watchers make about one call a second, whatever the number of nodes.
 """
 
 ANSWER_MARGIN_SECONDS = 3.0
-"""Time beyond the wait after which a call is given up."""
+"""Time beyond the wait after which a call times out."""
 
 FIRST_RETRY_SECONDS = 0.5
 
@@ -45,18 +45,19 @@
 REPAIR_SECONDS = 1.0
 """Delay of a repair, times one more than the watcher's index.
 
-An older event of the watch may arrive after a newer document of a peer; the
-delay gives the newer event time to arrive, and one watcher time to repair.
+A watch event may arrive after a newer document from a peer. The delay lets the
+event of the newer document arrive, and staggers the watchers so that one of
+them repairs first.
 """
 
 REPAIR_TIMEOUT_SECONDS = 5.0
 
 MAXIMUM_REPAIRS = 8
-"""Repairs that run at the same time."""
+"""Maximum number of concurrent repairs."""
 
 
 def step(board, now: float) -> None:
-    """Keep one call waiting at the store while this node is a watcher."""
+    """Keep one watch call pending at the store while this node is a watcher."""
     if not board.configuration_ready:
         return
     watch = board.configuration.watch
@@ -74,12 +75,12 @@
 
 
 def _decide(board, now: float) -> None:
-    """Become a watcher or stop being one."""
+    """Start or stop watching, by rank among the hosts or by isolation."""
     own = board.configuration
     index = peers.watcher_index(board)
     if own.peer_heard_at is None:
         own.peer_heard_at = now
-    # A node that watches because it is alone goes on until it hears a peer.
+    # A node that watches because it is isolated continues until a peer is heard.
     factor = 1 if own.watch.index == peers.WATCHERS else board.random.uniform(1, 2)
     isolated = now - own.peer_heard_at >= ISOLATED_SECONDS * factor
     if index is None and isolated:
@@ -95,8 +96,8 @@
         max(2 * watch.retry_seconds, FIRST_RETRY_SECONDS), MAXIMUM_RETRY_SECONDS
     )
     watch.next_at = now + watch.retry_seconds * board.random.uniform(0.5, 1)
-    # All is read again after a failure: the store may have been restored from
-    # an older copy, after which it uses the same revisions for other changes.
+    # Read all documents again after a failure: the store may have been restored
+    # from a backup and may reuse the same revisions for other changes.
     watch.revision = None
 
 
@@ -119,7 +120,7 @@
 
 
 def take_store_answer(event: base.StoreAnswered, board, now: float) -> bool:
-    """Apply what the store answered; return whether the answer belongs here."""
+    """Handle an answer of the store; return whether the call was made here."""
     watch = board.configuration.watch
     if event.call_id in watch.repair_calls:
         _finish_repair(board, watch.repair_calls.pop(event.call_id), event.result, now)
@@ -136,7 +137,8 @@
     answer = event.result.unwrap()
     if isinstance(answer, platform.Changes):
         _take_entries(board, answer.entries, now)
-        # The store lost data if it is behind what was read; all is read again.
+        # A revision below the one already read means that the store lost data;
+        # all documents are then read again.
         lost = answer.revision < watch.revision
         watch.revision = None if lost else answer.revision
         return True
@@ -150,7 +152,7 @@
 
 
 def _take_entries(board, entries, now: float) -> None:
-    """Apply newer documents and plan the repair of older ones."""
+    """Apply newer documents and schedule the repair of older ones."""
     for entry in entries:
         if _is_held(board, entry):
             continue
@@ -169,8 +171,8 @@
 def _is_held(board, entry) -> bool:
     """Return whether an entry is the document in force.
 
-    The bytes are compared by their checksum. Decoding a list of 2,900
-    documents would stop a serving node for about a second.
+    Checksums of the encoded bytes are compared, because decoding a list of
+    2,900 documents would block a serving node for about a second.
     """
     pool = entry.key.removeprefix(documents.KEY_PREFIX)
     held = board.configuration.table.summaries.get(pool)
@@ -191,7 +193,7 @@
 
 
 def _send_repairs(board, now: float) -> None:
-    """Write the held version of a document over a lower one in the store."""
+    """Overwrite older documents in the store with those in force."""
     watch = board.configuration.watch
     watch.repair_calls = {
         call_id: pool
@@ -201,7 +203,7 @@
     due = [pool for pool, repair in watch.repairs.items() if repair.due <= now]
     for pool in due[: MAXIMUM_REPAIRS - len(watch.repair_calls)]:
         repair = watch.repairs[pool]
-        # The write is repeated if no answer comes; a success removes the plan.
+        # The write is retried if no answer comes; a success removes the repair.
         repair.due = now + REPAIR_TIMEOUT_SECONDS
         call_id = board.next_id()
         watch.repair_calls[call_id] = pool
@@ -215,7 +217,7 @@
 
 
 def _finish_repair(board, pool: str, answer: result.Result, now: float) -> None:
-    """Log a repair that succeeded; look again at what is there otherwise."""
+    """Log a successful repair; after a conflict, examine the current entry."""
     watch = board.configuration.watch
     if answer.is_err():
         return
