--- a/hyssopshelf/configuration/api.py
+++ b/hyssopshelf/configuration/api.py
@@ -1,8 +1,8 @@
 """Controller of the resource API.
 
-A change is a read of the pool's document and a compare-and-swap. An answer of
-the store that does not come or is an error leaves the outcome open; the
-document is then read again and searched for the change id.
+A change is a read of the pool's document and a compare-and-swap. If the store
+times out or returns an error, the outcome is unknown; the document is then read
+again and searched for the change id.
 """
 
 from hyssopshelf import base, exceptions, logs, messages, platform
@@ -21,10 +21,10 @@
 ErrorKind = exceptions.ErrorKind
 
 CALL_TIMEOUT_SECONDS = 3.0
-"""Time after which a store call is settled by reading back.
+"""Time after which a store call times out and the document is read back.
 
-It is longer than the store adapter's own limit of 2 s. A shorter time would
-drop every answer of a slow store, and no change would be accepted.
+It is longer than the store adapter's own limit of 2 s. A shorter timeout would
+discard every answer of a slow store, and no change would be accepted.
 """
 
 FIRST_RETRY_SECONDS = 0.1
@@ -32,10 +32,10 @@
 MAXIMUM_RETRY_SECONDS = 1.0
 
 MAXIMUM_WAIT_SECONDS = 60.0
-"""Longest time that a request may wait."""
+"""Maximum time that a request may wait."""
 
 MAXIMUM_OPERATIONS = 1_000
-"""Requests that wait at the same time; each waiting watch is one."""
+"""Maximum number of concurrently waiting requests, watches included."""
 
 
 def answer(board, caller: str, body: dict) -> None:
@@ -78,7 +78,7 @@
 
 
 def _start_change(board, caller: str, request, now: float) -> None:
-    """Check a change on its own and read the document."""
+    """Validate the request without the document, then read the document."""
     if not request.change_id:
         refuse(board, caller, ErrorKind.BAD_REQUEST, "changeId: is missing")
         return
@@ -105,7 +105,7 @@
 
 
 def take_store_answer(event: base.StoreAnswered, board, now: float) -> bool:
-    """Go on with a change; return whether the answer belongs to one."""
+    """Continue a change after a store call; return whether the call was made here."""
     for operation in board.configuration.operations.values():
         if operation.call_id and operation.call_id == event.call_id:
             break
@@ -127,7 +127,10 @@
 
 
 def _settle_failure(operation: progress.ApiOperation, board, now: float) -> None:
-    """Plan to read the document back after a call with an unknown outcome."""
+    """Schedule a read of the document after a store call failed or timed out.
+
+    The outcome of a failed compare-and-swap is unknown until that read.
+    """
     operation.call_id = ""
     if operation.candidate is not None:
         operation.unsure_revision = operation.revision
@@ -166,9 +169,9 @@
     """Apply the change to the stored document and write it if it is valid.
 
     A write with an unknown outcome may still reach the store. While the
-    document has the revision that this write expects, the change is written
-    again: the store accepts one of the two at most. At another revision the
-    old write can no longer take effect.
+    document is at the revision that this write expects, the change is written
+    again: the store accepts at most one of the two writes. At another revision
+    the earlier write can no longer take effect.
     """
     request = operation.request
     operation.revision = entry.revision if entry else 0
@@ -182,7 +185,7 @@
     current = stored or documents.empty_document(request.pool)
     held = board.documents.get(request.pool)
     if held is not None and documents.supersedes(held, current):
-        # The store lost data; the change is made to what is in force.
+        # The store lost data; the change is applied to the document in force.
         current = held
     changes = _build_changes(request, current)
     if documents.contains_change(current, changes):
@@ -243,7 +246,7 @@
 
 
 def _close_refused(board, operation, error: ErrorKind, message: str, **body) -> None:
-    """Answer that a change was not made, unless an open write may still make it."""
+    """Answer that a change was not made, or unknown while a write is unresolved."""
     if operation.unsure_revision is not None:
         _close_unknown(board, operation)
         return
@@ -332,7 +335,7 @@
 def _diff(board, caller: str, request: requests.Diff, now: float) -> None:
     empty = documents.empty_document(request.pool)
     held = board.documents.get(request.pool, empty)
-    # The versions of the held document make every declared resource acceptable.
+    # With the held document's version as base, no declared resource conflicts.
     changes = documents.ChangeSet(
         pool=request.pool,
         change_id="diff",
@@ -366,7 +369,7 @@
 
 
 def _answer_watch(board, operation: progress.ApiOperation, now: float) -> None:
-    """Answer a watch that has something new or whose time is over."""
+    """Answer a watch whose version has increased or whose deadline has passed."""
     request = operation.request
     document = board.documents.get(request.pool)
     version = document.version if document else 0
@@ -395,7 +398,7 @@
 
 
 def _answer_status(board, operation: progress.ApiOperation) -> None:
-    """Answer a status request once all nodes have answered or were given up."""
+    """Answer a status request once all nodes have answered or timed out."""
     queries = board.configuration.queries.values()
     query = next((item for item in queries if item.operation == operation.id), None)
     if query is None or query.waiting:
@@ -416,7 +419,7 @@
 
 
 def step(board, now: float) -> None:
-    """Go on with the requests that wait for the store, a version or a time."""
+    """Advance requests that wait for the store, a version or a deadline."""
     for operation in list(board.configuration.operations.values()):
         if isinstance(operation.request, requests.Watch):
             _answer_watch(board, operation, now)
--- a/hyssopshelf/configuration/declarations.py
+++ b/hyssopshelf/configuration/declarations.py
@@ -1,4 +1,4 @@
-"""Text and plain data of declared resources, to and from their attrs classes.
+"""Conversion of declared resources between text, plain data and attrs classes.
 
 A resource in YAML or JSON has ``kind``, ``metadata`` (``name``, ``pool``,
 ``resourceVersion``), ``spec`` with field names in camelCase and, in answers
@@ -25,7 +25,7 @@
 
 
 class _Loader(getattr(yaml, "CSafeLoader", yaml.SafeLoader)):
-    """YAML loader that refuses a mapping with a repeated key."""
+    """YAML loader that rejects a mapping with a duplicate key."""
 
     def construct_mapping(self, node, deep=False):
         """Build a mapping; the base loader would keep only the last value."""
@@ -41,18 +41,18 @@
 
 @functools.cache
 def camel_case(name: str) -> str:
-    """Return the declared form of an attribute name."""
+    """Return the camelCase field name of an attribute."""
     first, *rest = name.split("_")
     return first + "".join(word.capitalize() for word in rest)
 
 
 def parse_json(text: str) -> object:
-    """Read JSON; a repeated name in an object is refused.
+    """Parse JSON; an object with a duplicate name is rejected.
 
     Raises
     ------
     ValidationError
-        If the text is no JSON or names a field twice.
+        If the text is not JSON or an object repeats a name.
     """
     try:
         return json.loads(text, object_pairs_hook=_build_mapping)
@@ -72,10 +72,10 @@
 
 
 def parse_text(text: str) -> tuple[resources.Resource, ...]:
-    """Read the resources of a YAML or JSON text.
+    """Parse the resources of a YAML or JSON text.
 
-    Reading YAML takes seconds a megabyte. The operators' command reads it and
-    sends JSON; a node reads JSON only.
+    Parsing YAML takes seconds per megabyte, so the command-line client parses
+    it and sends JSON; a node parses JSON only.
 
     Parameters
     ----------
@@ -91,7 +91,7 @@
     Raises
     ------
     ValidationError
-        If the text cannot be read, is too long, or a resource is malformed.
+        If the text cannot be parsed, is too long, or a resource is malformed.
     """
     if len(text.encode()) > MAXIMUM_TEXT_BYTES:
         raise exceptions.ValidationError(
@@ -163,7 +163,7 @@
     required: typing.Collection[str],
     path: str,
 ) -> None:
-    """Raise ValidationError unless a mapping has only known and all needed fields."""
+    """Raise ValidationError for an unknown field or a missing required one."""
     if not isinstance(plain, dict):
         raise exceptions.ValidationError(path, "must be a mapping")
     for name in plain:
@@ -174,7 +174,7 @@
 
 
 def _parse_value(plain: object, target: typing.Any, path: str) -> typing.Any:
-    """Build a value of an annotated type; nothing is converted but int to float."""
+    """Build a value of an annotated type; the only conversion is int to float."""
     if attrs.has(target):
         return _parse_object(plain, target, path)
     origin = typing.get_origin(target)
@@ -205,7 +205,7 @@
 
 @attrs.frozen(kw_only=True)
 class _Form:
-    """Attributes and types of a class by declared name, and the needed names."""
+    """Attribute and type of each declared field of a class, and required fields."""
 
     fields: dict[str, tuple[str, typing.Any]]
     required: frozenset[str]
@@ -213,7 +213,7 @@
 
 @functools.cache
 def _find_form(target: type) -> _Form:
-    """Return the form of a class; finding it anew takes most of a parse."""
+    """Return the fields of a class; cached, as type hints dominate parse time."""
     hints = typing.get_type_hints(target)
     found = attrs.fields(target)
     return _Form(
--- a/hyssopshelf/configuration/dissemination.py
+++ b/hyssopshelf/configuration/dissemination.py
@@ -1,8 +1,8 @@
-"""Dissemination of documents between nodes.
+"""Gossip dissemination of documents between nodes.
 
 A node that applies a new version offers it to random peers; a peer that lacks
-it pulls the document and offers it in turn. A digest comparison with one
-random peer a second finds what the offers missed.
+it pulls the document and offers it in turn. Anti-entropy, a digest comparison
+with one random peer per second, finds what the offers missed.
 """
 
 import zlib
@@ -26,8 +26,8 @@
 OFFER_ROUNDS = 3
 """Rounds of offers after a change.
 
-With f offers a node, about exp(-f) of the nodes get none: 5% after one round
-of 3, 0.01% after three, which is less than one node of 5,100.
+With f offers per node, about exp(-f) of the nodes receive none: 5% after one
+round of 3, 0.01% after three rounds, which is less than one node of 5,100.
 """
 
 ROUND_SECONDS = 0.1
@@ -35,17 +35,17 @@
 DIGEST_SECONDS = 1.0
 
 LISTED_BUCKETS = 8
-"""Buckets listed in one exchange, about 13 KB at 2,900 pools."""
+"""Maximum number of buckets listed in one message, about 13 KB at 2,900 pools."""
 
 REPEATED_DIGEST_SECONDS = 0.2
-"""Time to the next digest of a node that knows or suspects that it is behind:
-more buckets differ than were listed, or no peer was heard."""
+"""Digest interval while a node may be behind: more buckets differ than were
+listed, or no message of a peer has arrived."""
 
 ALONE_SECONDS = 2.5
 """Time without a message of a peer after which digests are sent more often."""
 
 PULL_TIMEOUT_SECONDS = 0.2
-"""Time for one part. The longest round trip is about 25 ms, and the largest
+"""Timeout of one part. The longest round trip is about 25 ms, and the largest
 document takes about 50 ms to encode."""
 
 OLD_AFTER_SECONDS = 5.0
@@ -55,7 +55,7 @@
 """Largest part of a compressed document; a message stays below 256 KB."""
 
 _ENCODED_DOCUMENTS = 4
-"""Compressed documents kept; a change is sent three times in a short time."""
+"""Compressed documents cached; a change is sent three times in a short time."""
 
 
 @messages.register("configuration.offer")
@@ -98,7 +98,7 @@
 @messages.register("configuration.buckets")
 @attrs.frozen(kw_only=True)
 class Buckets:
-    """Answer to a digest: no buckets if it is equal, else one for each part."""
+    """Answer to a digest: empty if equal, else the hash of each bucket."""
 
     buckets: tuple[int, ...]
 
@@ -144,7 +144,7 @@
     source : str
         Where it came from, for the log.
     fresh : bool
-        Offer it in full; otherwise one round, since most peers have it.
+        Send all rounds of offers; otherwise one, since most peers have it.
     summary : Summary or None
         Summary of the document, None if it has to be computed.
 
@@ -167,8 +167,8 @@
             next_at=now,
             informed={source},
         )
-        # Waiting for the next tick would add 25 ms on average at each hop. Many
-        # documents at once do wait, and share messages.
+        # Waiting for the next tick would add 25 ms on average at each hop. If
+        # several documents are pending, they wait and are sent in one message.
         if len(board.configuration.pushes) == 1:
             _send_offers(board, now)
     return True
@@ -216,7 +216,7 @@
     Raises
     ------
     CodecError
-        If the data is damaged or is not the document that was announced.
+        If the data is corrupt or does not match the summary.
     """
     try:
         decompressor = zlib.decompressobj()
@@ -253,7 +253,7 @@
 
 @base.receive.register
 def receive_offer(message: Offer, board, host, now):
-    """Consider what a peer offers."""
+    """Pull the offered documents that are newer than those held."""
     note_peer(board, now)
     for summary in message.summaries:
         consider(board, summary, host, message.fresh, now)
@@ -278,19 +278,19 @@
 
 @base.receive.register
 def receive_part(message: Part, board, host, now):
-    """Collect a part of a document and apply the document when it is whole."""
+    """Append a part of a document and apply the document once it is complete."""
     note_peer(board, now)
     pool = message.summary.pool
     pull = board.configuration.pulls.get(pool)
     if pull is None or message.summary < pull.summary:
         return
-    # A whole document is taken even from a peer that was given up.
+    # A complete document is accepted even from a peer that timed out.
     if pull.host != host and len(message.data) < message.total:
         return
     if pull.host != host:
         pull.parts.clear()
     if message.summary > pull.summary:
-        # The peer has a newer version by now; its parts replace all others.
+        # The peer now has a newer version; discard the parts of the older one.
         pull.summary = message.summary
         pull.parts.clear()
         if message.offset != 0:
@@ -313,7 +313,7 @@
 
 
 def report_damage(board, pool: str, source: str, error: Exception) -> None:
-    """Log a document that cannot be read."""
+    """Count and log a document that cannot be decoded."""
     board.count("configuration_damaged_total")
     board.log(
         logs.LogEvent.CONFIGURATION_DAMAGED, pool=pool, source=source, reason=str(error)
@@ -328,7 +328,7 @@
 
 @base.receive.register
 def receive_digest(message: Digest, board, host, now):
-    """Answer a peer's digest with the own buckets if it differs."""
+    """Answer a peer's digest with this node's buckets if it differs."""
     note_peer(board, now)
     table = board.configuration.table
     # A node without a snapshot has nothing to compare.
@@ -338,7 +338,7 @@
 
 @base.receive.register
 def receive_buckets(message: Buckets, board, host, now):
-    """List the own documents in the buckets that differ from a peer's."""
+    """Send the summaries of this node in the buckets that differ from a peer's."""
     note_peer(board, now)
     table = board.configuration.table
     differing = {
@@ -361,7 +361,7 @@
 
 @base.receive.register
 def receive_listing(message: Listing, board, host, now):
-    """Pull what a peer has newer and offer what it has older or lacks."""
+    """Pull documents that are newer at a peer; offer those it lacks or has older."""
     note_peer(board, now)
     theirs = {summary.pool: summary for summary in message.summaries}
     for summary in message.summaries:
@@ -376,7 +376,7 @@
 
 
 def step(board, now: float) -> None:
-    """Send due offers and the digest, and replace peers that do not answer."""
+    """Send due offers and digests, and retry pulls that timed out at other peers."""
     _send_offers(board, now)
     _expire_pulls(board, now)
     if board.configuration_ready and now >= board.configuration.digest_at:
@@ -405,12 +405,12 @@
 
 
 def _expire_pulls(board, now: float) -> None:
-    """Ask the next peer that offered a document if one does not send it."""
+    """Retry pulls that timed out at the next peer that offered the document."""
     pulls = board.configuration.pulls
     for pool in [pool for pool, pull in pulls.items() if pull.deadline <= now]:
         pull = pulls[pool]
         if not pull.others:
-            # Another peer is asked at once what this node lacks.
+            # Compare digests with another peer without delay.
             del pulls[pool]
             board.configuration.digest_at = now
             continue
@@ -425,14 +425,14 @@
     heard_at = now if own.peer_heard_at is None else own.peer_heard_at
     alone = now - heard_at >= ALONE_SECONDS
     seconds = REPEATED_DIGEST_SECONDS if alone else DIGEST_SECONDS
-    # The random part keeps nodes that started together from acting in step.
+    # The jitter keeps nodes that started together from synchronising.
     own.digest_at = now + seconds * board.random.uniform(0.8, 1)
     for host in peers.choose_any(board):
         send(board, host, Digest(root=board.configuration.table.root))
 
 
 def _check_age(board, now: float) -> None:
-    """Log when the configuration may be old and when it no longer may."""
+    """Log when the node loses and regains contact with the store and all peers."""
     own = board.configuration
     if own.heard_at is None:
         own.heard_at = now
--- a/hyssopshelf/configuration/validation.py
+++ b/hyssopshelf/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Checks of declared resources; each names the field and the rule it breaks."""
+"""Validation of declared resources; errors name the field and the broken rule."""
 
 import collections
 import ipaddress
@@ -13,14 +13,15 @@
 """Largest document, in bytes; the store holds values of up to 1 MB."""
 
 SHARE_TOLERANCE = 1e-6
-"""Allowed distance of a sum of shares from 1; thirds do not add up exactly."""
+"""Allowed deviation of a sum of shares from 1, as thirds do not sum exactly."""
 
 MAXIMUM_NAME_CHARACTERS = 63
 
 MAXIMUM_ENDPOINTS = 4
-"""Endpoints of a database. With five, a failover may leave two endpoints outside the
-fenced majority, a replaced primary and a replica that follows it and reports fresh
-data. With four or fewer, the replaced primary is left alone."""
+"""Maximum number of endpoints of a database. With five, a failover may leave two
+endpoints outside the fenced majority: the replaced primary and a replica that still
+follows it and reports fresh data. With four or fewer, only the replaced primary can
+remain."""
 
 _NAME = re.compile(r"[a-z0-9]([a-z0-9._-]*[a-z0-9])?")
 
@@ -30,7 +31,7 @@
 
 
 def check_name(name: str, path: str) -> None:
-    """Check a name; full names join names with a slash, so none contains one."""
+    """Check a name; it contains no slash, which separates names in full names."""
     if len(name) > MAXIMUM_NAME_CHARACTERS or not _NAME.fullmatch(name):
         raise exceptions.ValidationError(
             path,
@@ -40,7 +41,7 @@
 
 
 def check_address(address: str, path: str) -> None:
-    """Check that an address is ``IP:port``; no name service is used."""
+    """Check that an address is ``IP:port``; host names are not resolved."""
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -144,7 +145,7 @@
 
 
 def check_resource(resource: resources.Resource) -> None:
-    """Check one resource on its own.
+    """Check one resource independently of the others.
 
     Raises
     ------
@@ -273,9 +274,8 @@
 def check_change(held: resources.Document, new: resources.Document) -> None:
     """Check that a change adds or removes at most one endpoint of a database.
 
-    Then each majority of the old group shares an endpoint with each majority of
-    the new one, and nodes that hold different versions cannot promote two
-    primaries.
+    Each majority of the old group then intersects each majority of the new
+    one, so that nodes that hold different versions cannot promote two primaries.
 
     Raises
     ------
