--- a/hyssopshelf/configuration/api.py
+++ b/hyssopshelf/configuration/api.py
@@ -113,7 +113,7 @@
         return False
     operation.call_id = ""
     if event.result.is_err():
-        _settle_failure(operation, board, now)
+        _schedule_read_back(operation, board, now)
         return True
     board.configuration.heard_at = now
     found = event.result.unwrap()
@@ -126,14 +126,14 @@
     return True
 
 
-def _settle_failure(operation: progress.ApiOperation, board, now: float) -> None:
+def _schedule_read_back(operation: progress.ApiOperation, board, now: float) -> None:
     """Schedule a read of the document after a store call failed or timed out.
 
     The outcome of a failed compare-and-swap is unknown until that read.
     """
     operation.call_id = ""
     if operation.candidate is not None:
-        operation.unsure_revision = operation.revision
+        operation.unresolved_revision = operation.revision
     operation.retry_seconds = min(
         max(2 * operation.retry_seconds, FIRST_RETRY_SECONDS), MAXIMUM_RETRY_SECONDS
     )
@@ -175,8 +175,8 @@
     """
     request = operation.request
     operation.revision = entry.revision if entry else 0
-    if operation.revision != operation.unsure_revision:
-        operation.unsure_revision = None
+    if operation.revision != operation.unresolved_revision:
+        operation.unresolved_revision = None
     try:
         stored = declarations.decode_document(entry.value) if entry else None
     except exceptions.CodecError as error:
@@ -191,7 +191,7 @@
     if documents.contains_change(current, changes):
         _accept(board, operation, current, now)
         return
-    if _finds_nothing(request, current):
+    if _names_only_missing(request, current):
         message = "none of the resources exists"
         _close_refused(board, operation, ErrorKind.NOT_FOUND, message)
         return
@@ -218,7 +218,7 @@
     _call(board, operation, swap, now)
 
 
-def _finds_nothing(request, document: resources.Document) -> bool:
+def _names_only_missing(request, document: resources.Document) -> bool:
     """Return whether a deletion names only resources that do not exist."""
     if not isinstance(request, requests.Delete) or not request.references:
         return False
@@ -230,7 +230,7 @@
     """Put an accepted document in force and answer."""
     del board.configuration.operations[operation.id]
     if document.version:
-        dissemination.adopt(board, document, now, source="commit")
+        dissemination.apply_if_newer(board, document, now, source="commit")
     board.count("configuration_accepted_total")
     request = operation.request
     fields = {"pool": request.pool, "version": document.version}
@@ -247,7 +247,7 @@
 
 def _close_refused(board, operation, error: ErrorKind, message: str, **body) -> None:
     """Answer that a change was not made, or unknown while a write is unresolved."""
-    if operation.unsure_revision is not None:
+    if operation.unresolved_revision is not None:
         _close_unknown(board, operation)
         return
     del board.configuration.operations[operation.id]
@@ -275,10 +275,10 @@
     )
 
 
-def _close_late(board, operation: progress.ApiOperation) -> None:
+def _close_expired(board, operation: progress.ApiOperation) -> None:
     """Answer a change at its deadline."""
     if operation.candidate is not None:
-        operation.unsure_revision = operation.revision
+        operation.unresolved_revision = operation.revision
     message = "the store did not answer; the change was not made"
     _close_refused(board, operation, ErrorKind.UNAVAILABLE, message)
 
@@ -431,10 +431,10 @@
 
 def _step_change(board, operation: progress.ApiOperation, now: float) -> None:
     if now >= operation.deadline:
-        _close_late(board, operation)
+        _close_expired(board, operation)
     elif operation.call_id:
         if now >= operation.call_deadline:
-            _settle_failure(operation, board, now)
+            _schedule_read_back(operation, board, now)
     elif now >= operation.next_at:
         _read(board, operation, now)
 
--- a/hyssopshelf/configuration/declarations.py
+++ b/hyssopshelf/configuration/declarations.py
@@ -66,8 +66,8 @@
     mapping = dict(pairs)
     if len(mapping) < len(pairs):
         names = [name for name, _ in pairs]
-        twice = next(name for name in names if names.count(name) > 1)
-        raise exceptions.ValidationError(twice, "is given twice")
+        repeated = next(name for name in names if names.count(name) > 1)
+        raise exceptions.ValidationError(repeated, "is given twice")
     return mapping
 
 
@@ -204,7 +204,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Form:
+class _ClassFields:
     """Attribute and type of each declared field of a class, and required fields."""
 
     fields: dict[str, tuple[str, typing.Any]]
@@ -212,11 +212,11 @@
 
 
 @functools.cache
-def _find_form(target: type) -> _Form:
+def _find_class_fields(target: type) -> _ClassFields:
     """Return the fields of a class; cached, as type hints dominate parse time."""
     hints = typing.get_type_hints(target)
     found = attrs.fields(target)
-    return _Form(
+    return _ClassFields(
         fields={camel_case(item.name): (item.name, hints[item.name]) for item in found},
         required=frozenset(
             camel_case(item.name) for item in found if item.default is attrs.NOTHING
@@ -226,11 +226,11 @@
 
 def _parse_object(plain: object, target: type, path: str) -> typing.Any:
     """Build an attrs object from a mapping with names in camelCase."""
-    form = _find_form(target)
-    check_fields(plain, form.fields, form.required, path)
+    class_fields = _find_class_fields(target)
+    check_fields(plain, class_fields.fields, class_fields.required, path)
     values = {}
     for name, value in plain.items():
-        attribute, hint = form.fields[name]
+        attribute, hint = class_fields.fields[name]
         values[attribute] = _parse_value(value, hint, f"{path}.{name}")
     return target(**values)
 
@@ -240,7 +240,7 @@
     if attrs.has(type(value)):
         return {
             name: to_plain(getattr(value, attribute))
-            for name, (attribute, _) in _find_form(type(value)).fields.items()
+            for name, (attribute, _) in _find_class_fields(type(value)).fields.items()
         }
     if isinstance(value, tuple):
         return [to_plain(item) for item in value]
--- a/hyssopshelf/configuration/dissemination.py
+++ b/hyssopshelf/configuration/dissemination.py
@@ -41,7 +41,7 @@
 """Digest interval while a node may be behind: more buckets differ than were
 listed, or no message of a peer has arrived."""
 
-ALONE_SECONDS = 2.5
+PEER_SILENCE_SECONDS = 2.5
 """Time without a message of a peer after which digests are sent more often."""
 
 PULL_TIMEOUT_SECONDS = 0.2
@@ -54,7 +54,7 @@
 PART_BYTES = 192 * 1024
 """Largest part of a compressed document; a message stays below 256 KB."""
 
-_ENCODED_DOCUMENTS = 4
+_CACHED_DOCUMENTS = 4
 """Compressed documents cached; a change is sent three times in a short time."""
 
 
@@ -117,13 +117,13 @@
     board.act(base.SendPeer(host=host, message=message))
 
 
-def note_peer(board, now: float) -> None:
+def record_contact(board, now: float) -> None:
     """Record that a peer was reached."""
     board.configuration.peer_heard_at = now
     board.configuration.heard_at = now
 
 
-def adopt(
+def apply_if_newer(
     board,
     document: resources.Document,
     now: float,
@@ -204,7 +204,7 @@
         return kept[1]
     data = zlib.compress(declarations.encode_document(board.documents[pool]))
     encoded.pop(pool, None)
-    while len(encoded) >= _ENCODED_DOCUMENTS:
+    while len(encoded) >= _CACHED_DOCUMENTS:
         del encoded[next(iter(encoded))]
     encoded[pool] = (summary, data)
     return data
@@ -231,7 +231,7 @@
     return document
 
 
-def consider(
+def pull_if_newer(
     board, summary: versions.Summary, host: str, fresh: bool, now: float
 ) -> None:
     """Pull an offered document if it is newer than the one held."""
@@ -254,16 +254,16 @@
 @base.receive.register
 def receive_offer(message: Offer, board, host, now):
     """Pull the offered documents that are newer than those held."""
-    note_peer(board, now)
+    record_contact(board, now)
     for summary in message.summaries:
-        consider(board, summary, host, message.fresh, now)
+        pull_if_newer(board, summary, host, message.fresh, now)
     board.configuration.snapshot.confirming.discard(host)
 
 
 @base.receive.register
 def receive_pull(message: PullRequest, board, host, now):
     """Send the part of a document that a peer asks for."""
-    note_peer(board, now)
+    record_contact(board, now)
     summary = board.configuration.table.summaries.get(message.pool)
     if summary is None:
         return
@@ -279,7 +279,7 @@
 @base.receive.register
 def receive_part(message: Part, board, host, now):
     """Append a part of a document and apply the document once it is complete."""
-    note_peer(board, now)
+    record_contact(board, now)
     pool = message.summary.pool
     pull = board.configuration.pulls.get(pool)
     if pull is None or message.summary < pull.summary:
@@ -309,7 +309,7 @@
     except exceptions.CodecError as error:
         report_damage(board, pool, host, error)
         return
-    adopt(board, document, now, host, fresh=pull.fresh, summary=pull.summary)
+    apply_if_newer(board, document, now, host, fresh=pull.fresh, summary=pull.summary)
 
 
 def report_damage(board, pool: str, source: str, error: Exception) -> None:
@@ -329,7 +329,7 @@
 @base.receive.register
 def receive_digest(message: Digest, board, host, now):
     """Answer a peer's digest with this node's buckets if it differs."""
-    note_peer(board, now)
+    record_contact(board, now)
     table = board.configuration.table
     # A node without a snapshot has nothing to compare.
     differs = board.configuration_ready and message.root != table.root
@@ -339,7 +339,7 @@
 @base.receive.register
 def receive_buckets(message: Buckets, board, host, now):
     """Send the summaries of this node in the buckets that differ from a peer's."""
-    note_peer(board, now)
+    record_contact(board, now)
     table = board.configuration.table
     differing = {
         index
@@ -362,14 +362,14 @@
 @base.receive.register
 def receive_listing(message: Listing, board, host, now):
     """Pull documents that are newer at a peer; offer those it lacks or has older."""
-    note_peer(board, now)
-    theirs = {summary.pool: summary for summary in message.summaries}
+    record_contact(board, now)
+    peer_summaries = {summary.pool: summary for summary in message.summaries}
     for summary in message.summaries:
-        consider(board, summary, host, False, now)
+        pull_if_newer(board, summary, host, False, now)
     newer = tuple(
         summary
         for summary in board.configuration.table.list_buckets(set(message.buckets))
-        if summary.pool not in theirs or summary > theirs[summary.pool]
+        if summary.pool not in peer_summaries or summary > peer_summaries[summary.pool]
     )
     if newer:
         send(board, host, Offer(summaries=newer))
@@ -421,30 +421,30 @@
 
 def _compare_digest(board, now: float) -> None:
     """Send the digest to one random peer."""
-    own = board.configuration
-    heard_at = now if own.peer_heard_at is None else own.peer_heard_at
-    alone = now - heard_at >= ALONE_SECONDS
-    seconds = REPEATED_DIGEST_SECONDS if alone else DIGEST_SECONDS
+    state = board.configuration
+    heard_at = now if state.peer_heard_at is None else state.peer_heard_at
+    isolated = now - heard_at >= PEER_SILENCE_SECONDS
+    seconds = REPEATED_DIGEST_SECONDS if isolated else DIGEST_SECONDS
     # The jitter keeps nodes that started together from synchronising.
-    own.digest_at = now + seconds * board.random.uniform(0.8, 1)
+    state.digest_at = now + seconds * board.random.uniform(0.8, 1)
     for host in peers.choose_any(board):
         send(board, host, Digest(root=board.configuration.table.root))
 
 
 def _check_age(board, now: float) -> None:
     """Log when the node loses and regains contact with the store and all peers."""
-    own = board.configuration
-    if own.heard_at is None:
-        own.heard_at = now
-    old = now - own.heard_at >= OLD_AFTER_SECONDS
+    state = board.configuration
+    if state.heard_at is None:
+        state.heard_at = now
+    old = now - state.heard_at >= OLD_AFTER_SECONDS
     board.counters["configuration_may_be_old"] = float(old)
-    if old == own.reported_old:
+    if old == state.reported_old:
         return
-    own.reported_old = old
+    state.reported_old = old
     if old:
         board.log(
             logs.LogEvent.CONFIGURATION_MAY_BE_OLD,
-            seconds=round(now - own.heard_at, 1),
+            seconds=round(now - state.heard_at, 1),
             reason="neither the store nor a peer was reached",
         )
     else:
--- a/hyssopshelf/configuration/peers.py
+++ b/hyssopshelf/configuration/peers.py
@@ -12,7 +12,7 @@
 
 _WATCH_KEY = "configuration"
 
-_TRIES_PER_PEER = 4
+_SAMPLES_PER_PEER = 4
 
 
 def _is_usable(board, name: str, excluded: Collection[str]) -> bool:
@@ -35,7 +35,7 @@
     each message would cost more than the message.
     """
     names = list(board.hosts)
-    draws = min(len(names), count * _TRIES_PER_PEER)
+    draws = min(len(names), count * _SAMPLES_PER_PEER)
     drawn = board.random.sample(names, draws)
     chosen = [name for name in drawn if _is_usable(board, name, excluded)][:count]
     if len(chosen) == count:
--- a/hyssopshelf/configuration/progress.py
+++ b/hyssopshelf/configuration/progress.py
@@ -78,7 +78,7 @@
         Peers whose digest is awaited before the node is ready.
     loaded : bool
         All documents of a peer were received.
-    askers : set of str
+    hosts_to_notify : set of str
         Starting hosts to notify when this node is ready.
     """
 
@@ -93,7 +93,7 @@
     store_at: float = UNKNOWN_TIME
     confirming: set[str] = attrs.field(factory=set)
     loaded: bool = False
-    askers: set[str] = attrs.field(factory=set)
+    hosts_to_notify: set[str] = attrs.field(factory=set)
 
 
 @attrs.define(kw_only=True)
@@ -127,7 +127,7 @@
     """
 
     index: int | None = None
-    decide_at: float = UNKNOWN_TIME
+    check_at: float = UNKNOWN_TIME
     revision: int | None = None
     call_id: str = ""
     deadline: float = UNKNOWN_TIME
@@ -184,7 +184,7 @@
         Document of the running compare-and-swap; None during a read.
     revision : int
         Revision of the document that was read last.
-    unsure_revision : int or None
+    unresolved_revision : int or None
         Revision that a compare-and-swap of unknown outcome expects.
     """
 
@@ -198,7 +198,7 @@
     retry_seconds: float = 0.0
     candidate: resources.Document | None = None
     revision: int = 0
-    unsure_revision: int | None = None
+    unresolved_revision: int | None = None
 
 
 @attrs.define(kw_only=True)
--- a/hyssopshelf/configuration/snapshots.py
+++ b/hyssopshelf/configuration/snapshots.py
@@ -42,7 +42,7 @@
 
 CONFIRMING_PEERS = 2
 
-MAXIMUM_ASKERS = 8
+MAXIMUM_HOSTS_TO_NOTIFY = 8
 """Maximum number of starting nodes that a node notifies when it is ready."""
 
 PART_DOCUMENTS = 32
@@ -99,16 +99,16 @@
 def receive_request(message: SnapshotRequest, board, host, now):
     """Send a part of the snapshot to a starting node."""
     if not board.configuration_ready:
-        askers = board.configuration.snapshot.askers
-        if len(askers) < MAXIMUM_ASKERS:
-            askers.add(host)
+        hosts_to_notify = board.configuration.snapshot.hosts_to_notify
+        if len(hosts_to_notify) < MAXIMUM_HOSTS_TO_NOTIFY:
+            hosts_to_notify.add(host)
         part = SnapshotPart(after=message.after, ready=False)
         dissemination.send(board, host, part)
         return
     # Read before the request counts as contact: the flag has to tell whether
     # the documents were kept up to date until now.
     old = board.configuration.reported_old
-    dissemination.note_peer(board, now)
+    dissemination.record_contact(board, now)
     dissemination.send(board, host, _build_part(board, message.after, old))
 
 
@@ -161,7 +161,7 @@
         snapshot.host = ""
         snapshot.deadline = now
         return
-    dissemination.note_peer(board, now)
+    dissemination.record_contact(board, now)
     for entry in message.entries:
         _take_entry(board, entry, host, now)
     if message.last:
@@ -177,14 +177,14 @@
     if not board.configuration.table.is_newer(entry.summary):
         return
     if not entry.data:
-        dissemination.consider(board, entry.summary, host, False, now)
+        dissemination.pull_if_newer(board, entry.summary, host, False, now)
         return
     try:
         document = dissemination.decompress(entry.data, entry.summary)
     except exceptions.CodecError as error:
         dissemination.report_damage(board, entry.summary.pool, host, error)
         return
-    dissemination.adopt(
+    dissemination.apply_if_newer(
         board, document, now, source=host, fresh=False, summary=entry.summary
     )
 
@@ -282,7 +282,7 @@
         except exceptions.CodecError as error:
             dissemination.report_damage(board, entry.key, "store", error)
             continue
-        dissemination.adopt(board, document, now, source="store", fresh=False)
+        dissemination.apply_if_newer(board, document, now, source="store", fresh=False)
     _become_ready(board, now, "store")
     return True
 
@@ -290,7 +290,7 @@
 def _become_ready(board, now: float, source: str) -> None:
     snapshot = board.configuration.snapshot
     board.configuration_ready = True
-    for host in sorted(snapshot.askers):
+    for host in sorted(snapshot.hosts_to_notify):
         dissemination.send(board, host, SnapshotReady())
     board.log(
         logs.LogEvent.SNAPSHOT_TAKEN,
--- a/hyssopshelf/configuration/status.py
+++ b/hyssopshelf/configuration/status.py
@@ -75,7 +75,7 @@
 @base.receive.register
 def receive_query(message: StatusQuery, board, host, now):
     """Record this node's version and query the hosts assigned to it."""
-    dissemination.note_peer(board, now)
+    dissemination.record_contact(board, now)
     _open_query(
         board,
         message.query_id,
@@ -134,15 +134,15 @@
 @base.receive.register
 def receive_result(message: StatusResult, board, host, now):
     """Add the counts that a host reports."""
-    dissemination.note_peer(board, now)
+    dissemination.record_contact(board, now)
     query = board.configuration.queries.get(message.query_id)
     if query is None or query.waiting.pop(host, None) is None:
         return
     query.in_force += message.in_force
     query.missing_count += message.missing_count
     query.silent_count += message.silent_count
-    room = MAXIMUM_NAMES - len(query.missing)
-    query.missing.update(list(message.missing.items())[: max(0, room)])
+    free = MAXIMUM_NAMES - len(query.missing)
+    query.missing.update(list(message.missing.items())[: max(0, free)])
     query.silent.extend(message.silent)
     del query.silent[MAXIMUM_NAMES:]
     _finish_if_complete(board, query)
@@ -152,13 +152,13 @@
     """Bypass hosts that did not answer and close queries at their deadline."""
     for query in list(board.configuration.queries.values()):
         if now >= query.deadline:
-            _give_up(query)
+            _count_remaining(query)
             _finish_if_complete(board, query)
         elif now >= query.retry_at:
-            _pass_over(board, query, now)
+            _bypass_silent(board, query, now)
 
 
-def _pass_over(board, query: progress.StatusQuery, now: float) -> None:
+def _bypass_silent(board, query: progress.StatusQuery, now: float) -> None:
     """Query the hosts below those that did not answer, through other hosts.
 
     A bypassed host may only be slow; its late answer is ignored, so that no
@@ -180,7 +180,7 @@
     query.silent.extend(hosts[: max(0, MAXIMUM_NAMES - len(query.silent))])
 
 
-def _give_up(query: progress.StatusQuery) -> None:
+def _count_remaining(query: progress.StatusQuery) -> None:
     """Count all remaining hosts as silent."""
     for host, rest in query.waiting.items():
         _count_silent(query, (host, *rest))
--- a/hyssopshelf/configuration/tests/fleet.py
+++ b/hyssopshelf/configuration/tests/fleet.py
@@ -188,9 +188,9 @@
             elif isinstance(action, base.Reply):
                 self.answers[action.caller] = action.answer
             elif isinstance(action, base.Log):
-                self._note(member, action)
+                self._record_log(member, action)
 
-    def _note(self, member, action):
+    def _record_log(self, member, action):
         if action.event is not logs.LogEvent.CONFIGURATION_APPLIED:
             self.log.append((self.now, member.board.identity.host, action))
             return
--- a/hyssopshelf/configuration/tests/test_api.py
+++ b/hyssopshelf/configuration/tests/test_api.py
@@ -147,7 +147,9 @@
     nodes.store.delay_seconds = 0.1
     board = nodes.members["h001"].board
     newer = attrs.evolve(stored(nodes), version=9, resources=(make_split(0.6, 9),))
-    fleet.controller.dissemination.adopt(board, newer, nodes.now, source="test")
+    fleet.controller.dissemination.apply_if_newer(
+        board, newer, nodes.now, source="test"
+    )
     # Well before the deadline, at which the outcome is unknown in any case.
     assert nodes.run(2.5, lambda: caller in nodes.answers)
     assert nodes.answers[caller].error is ErrorKind.OUTCOME_UNKNOWN
--- a/hyssopshelf/configuration/tests/test_dissemination.py
+++ b/hyssopshelf/configuration/tests/test_dissemination.py
@@ -229,7 +229,7 @@
     ]
     for host, document in zip(("h001", "h002"), contents, strict=True):
         board = nodes.members[host].board
-        dissemination.adopt(board, document, nodes.now, source="test")
+        dissemination.apply_if_newer(board, document, nodes.now, source="test")
     nodes.restore(test_api.KEY, nodes.store.entries[test_api.KEY].value)
     nodes.run(8)
     kept = max(contents, key=documents.checksum)
@@ -272,7 +272,7 @@
         other = attrs.evolve(document, pool=pool, resources=items)
         for host in ("h000", "h001"):
             board = nodes.members[host].board
-            dissemination.adopt(board, other, nodes.now, source="test")
+            dissemination.apply_if_newer(board, other, nodes.now, source="test")
     nodes.restart("h002")
     assert nodes.run(3, nodes.ready)
     assert len(nodes.members["h002"].board.documents) == 101
--- a/hyssopshelf/configuration/validation.py
+++ b/hyssopshelf/configuration/validation.py
@@ -85,10 +85,10 @@
             )
         check_unique((item.name for item in database.endpoints), f"{path}.endpoints")
         for number, endpoint in enumerate(database.endpoints):
-            here = f"{path}.endpoints[{number}]"
-            check_name(endpoint.name, f"{here}.name")
-            check_name(endpoint.place, f"{here}.place")
-            check_address(endpoint.address, f"{here}.address")
+            endpoint_path = f"{path}.endpoints[{number}]"
+            check_name(endpoint.name, f"{endpoint_path}.name")
+            check_name(endpoint.place, f"{endpoint_path}.place")
+            check_address(endpoint.address, f"{endpoint_path}.address")
             addresses.append(endpoint.address)
     check_unique(addresses, "spec.databases")
 
--- a/hyssopshelf/configuration/watching.py
+++ b/hyssopshelf/configuration/watching.py
@@ -17,7 +17,7 @@
     resources,
 )
 
-DECIDE_SECONDS = 1.0
+WATCHER_CHECK_SECONDS = 1.0
 """Interval between checks whether this node is a watcher."""
 
 ISOLATED_SECONDS = 3.0
@@ -61,9 +61,9 @@
     if not board.configuration_ready:
         return
     watch = board.configuration.watch
-    if now >= watch.decide_at:
-        watch.decide_at = now + DECIDE_SECONDS
-        _decide(board, now)
+    if now >= watch.check_at:
+        watch.check_at = now + WATCHER_CHECK_SECONDS
+        _update_watcher(board, now)
     if watch.index is None:
         return
     if watch.call_id and now >= watch.deadline:
@@ -74,20 +74,20 @@
     _send_repairs(board, now)
 
 
-def _decide(board, now: float) -> None:
+def _update_watcher(board, now: float) -> None:
     """Start or stop watching, by rank among the hosts or by isolation."""
-    own = board.configuration
+    state = board.configuration
     index = peers.watcher_index(board)
-    if own.peer_heard_at is None:
-        own.peer_heard_at = now
+    if state.peer_heard_at is None:
+        state.peer_heard_at = now
     # A node that watches because it is isolated continues until a peer is heard.
-    factor = 1 if own.watch.index == peers.WATCHERS else board.random.uniform(1, 2)
-    isolated = now - own.peer_heard_at >= ISOLATED_SECONDS * factor
+    factor = 1 if state.watch.index == peers.WATCHERS else board.random.uniform(1, 2)
+    isolated = now - state.peer_heard_at >= ISOLATED_SECONDS * factor
     if index is None and isolated:
         index = peers.WATCHERS
-    if index is None or own.watch.index is None:
-        own.watch = progress.StoreWatch(decide_at=own.watch.decide_at)
-    own.watch.index = index
+    if index is None or state.watch.index is None:
+        state.watch = progress.StoreWatch(check_at=state.watch.check_at)
+    state.watch.index = index
 
 
 def _delay_retry(board, now: float) -> None:
@@ -154,7 +154,7 @@
 def _take_entries(board, entries, now: float) -> None:
     """Apply newer documents and schedule the repair of older ones."""
     for entry in entries:
-        if _is_held(board, entry):
+        if _is_in_force(board, entry):
             continue
         try:
             document = declarations.decode_document(entry.value)
@@ -162,13 +162,13 @@
             dissemination.report_damage(board, entry.key, "store", error)
             continue
         board.configuration.watch.repairs.pop(document.pool, None)
-        dissemination.adopt(board, document, now, source="store")
+        dissemination.apply_if_newer(board, document, now, source="store")
         held = board.documents[document.pool]
         if documents.supersedes(held, document):
             _plan_repair(board, document.pool, entry.revision, document.change_ids, now)
 
 
-def _is_held(board, entry) -> bool:
+def _is_in_force(board, entry) -> bool:
     """Return whether an entry is the document in force.
 
     Checksums of the encoded bytes are compared, because decoding a list of
