--- a/hyssopshelf/configuration/tests/fleet.py
+++ b/hyssopshelf/configuration/tests/fleet.py
@@ -1,7 +1,7 @@
-"""Nodes, a network and a store in one process on a virtual clock.
+"""Discrete-event simulation of nodes, a network and a store on a virtual clock.
 
-The configuration controllers are the real ones; only what lies outside of them
-is simulated. The tests and benchmarks/bench_config use it.
+The configuration controllers are the real ones; only their surroundings are
+simulated. The tests and benchmarks/bench_config use it.
 """
 
 import collections
@@ -21,7 +21,7 @@
 """Limit of the store adapter; the outcome of a slower call is unknown."""
 
 DETECTION_SECONDS = 3.0
-"""Time after which the other nodes hold a dead node for dead."""
+"""Time after which the other nodes consider a crashed node dead."""
 
 NEAR_SECONDS = 0.0005
 FAR_SECONDS = 0.012
@@ -30,7 +30,7 @@
 
 @attrs.define(kw_only=True)
 class Store:
-    """Key-value store with faults."""
+    """Key-value store with fault injection."""
 
     entries: dict = attrs.field(factory=dict)
     revision: int = 1
@@ -41,7 +41,7 @@
     watches: list = attrs.field(factory=list)
 
     def run(self, operation):
-        """Carry out an operation other than a watch."""
+        """Execute an operation other than a watch."""
         if isinstance(operation, platform.Get):
             return self.entries.get(operation.key)
         if isinstance(operation, platform.ListPrefix):
@@ -70,7 +70,7 @@
 
 @attrs.define(kw_only=True)
 class Member:
-    """A node of the fleet."""
+    """A simulated node; ``cut`` isolates it from its peers and the store."""
 
     board: blackboard.Blackboard
     place: int
@@ -129,7 +129,7 @@
         self._after(self.random.uniform(0, TICK_SECONDS), self._tick, member)
 
     def kill(self, host):
-        """Stop a node at once; the others notice after a while."""
+        """Crash a node; it is marked dead after ``DETECTION_SECONDS``."""
         self.members[host].alive = False
         self._after(DETECTION_SECONDS, self._mark_dead, host)
 
@@ -152,7 +152,7 @@
         heapq.heappush(self._queue, entry)
 
     def run(self, seconds, until=None):
-        """Run for a time or until a condition holds; return whether it does."""
+        """Advance the clock until a condition holds; return whether it does in time."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
             self.now, _, function, arguments = heapq.heappop(self._queue)
@@ -235,7 +235,7 @@
         self._carry_out(target)
 
     def _call(self, member, action):
-        """Send a call to the store; the adapter gives it up after its limit."""
+        """Send a call to the store; it fails after the time limit of the adapter."""
         operation = action.operation
         self.store.calls[type(operation).__name__] += 1
         limit = STORE_TIMEOUT_SECONDS
@@ -247,7 +247,7 @@
             self._after(self.store.delay_seconds / 2, self._run_call, member, action)
 
     def stop_store(self):
-        """Stop the store; waiting watches end at once."""
+        """Stop the store; waiting watches fail immediately."""
         self.store.down = True
         for member, action in self.store.watches:
             failure = result.Err("connection closed")
--- a/hyssopshelf/configuration/tests/test_api.py
+++ b/hyssopshelf/configuration/tests/test_api.py
@@ -50,7 +50,7 @@
 
 
 def test_two_operators_who_race_get_one_conflict(nodes):
-    """Guards against the split of one operator lost without a word."""
+    """Guards against a silently lost update when two operators change a split."""
     callers = [
         nodes.request("h001", apply_request("a", [make_split(0.7, 1)])),
         nodes.request("h002", apply_request("b", [make_split(0.6, 1)])),
@@ -68,7 +68,7 @@
 
 
 def test_changes_of_different_resources_are_both_made(nodes):
-    """Guards against a lost update when two changes meet in one document."""
+    """Guards against a lost update by concurrent changes to one document."""
     rank = next(i for i in DECLARED if i.name == "background")
     rank = attrs.evolve(
         rank, spec=attrs.evolve(rank.spec, floor=0.2), resource_version=1
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("lost", [1, 2])
 def test_lost_answer_is_settled_by_reading_back(nodes, lost):
-    """Guards against an accepted change reported as failed or made twice."""
+    """Guards against an accepted change reported as failed or applied twice."""
     nodes.store.lost_answers = lost
     answer = ask(nodes, "h001", apply_request("a", [make_split(0.7, 1)]))
     assert answer.error is None
@@ -107,7 +107,7 @@
 
 
 def test_write_that_arrives_late_is_not_made_twice(nodes):
-    """Guards against a second write while the first is still on its way."""
+    """Guards against a change applied twice while the first write is delayed."""
     nodes.store.delay_seconds = 0.1
     caller = nodes.request("h001", apply_request("a", [make_split(0.7, 1)]))
     nodes.run(0.06)
@@ -122,7 +122,7 @@
 
 
 def test_unknown_outcome_is_told_and_a_repeat_is_safe(nodes):
-    """Guards against a guess at the deadline and a repeat that applies twice."""
+    """Guards against a wrong outcome at the deadline and a retry that applies twice."""
     nodes.store.delay_seconds = 0.2
     nodes.store.lost_answers = 1
     caller = nodes.request("h001", apply_request("a", [make_split(0.7, 1)]))
@@ -138,7 +138,7 @@
 
 
 def test_conflict_is_not_reported_while_a_write_is_open(nodes):
-    """Guards against 'not made' for a write that takes effect later."""
+    """Guards against a conflict reported for a write that takes effect later."""
     nodes.store.delay_seconds = 0.1
     caller = nodes.request("h001", apply_request("a", [make_split(0.7, 1)]))
     nodes.run(0.06)
@@ -156,7 +156,7 @@
 
 
 def test_same_change_sent_to_two_nodes_is_made_once(nodes):
-    """Guards against a repeat through another node that applies it again."""
+    """Guards against a retry through another node that applies the change again."""
     request = apply_request("a", [make_split(0.7, 1)])
     callers = [nodes.request(host, request) for host in ("h001", "h002")]
     nodes.run(2)
@@ -173,7 +173,7 @@
 
 
 def test_invalid_result_is_refused_and_nothing_is_written(nodes):
-    """Guards against a document that breaks a rule after a valid-looking change."""
+    """Guards against a change valid by itself that makes the document invalid."""
     rank = next(i for i in DECLARED if i.name == "background")
     rank = attrs.evolve(
         rank, spec=attrs.evolve(rank.spec, floor=0.9), resource_version=1
@@ -223,7 +223,7 @@
 
 
 def test_watch_answers_after_a_change_and_at_its_deadline(nodes):
-    """Guards against a watch that misses a change or never ends."""
+    """Guards against a watch that misses a change or has no timeout."""
     watch = requests.Watch(pool=POOL, after_version=1, remaining_seconds=2)
     assert ask(nodes, "h002", watch).body["changed"] is False
     caller = nodes.request("h002", watch)
@@ -255,14 +255,14 @@
 
 
 def test_node_without_configuration_answers_unavailable():
-    """Guards against a change made by a node that does not know what it holds."""
+    """Guards against a change accepted by a node that has no snapshot yet."""
     nodes = fleet.Fleet(size=1, seed=1)
     answer = ask(nodes, "h000", apply_request("first"))
     assert answer.error is ErrorKind.UNAVAILABLE
 
 
 def test_documents_of_a_store_that_lost_data_are_not_built_upon(nodes):
-    """Guards against a new change that takes the fleet back to lost content."""
+    """Guards against a change based on an older document of a restored store."""
     first = nodes.store.entries[KEY]
     ask(nodes, "h001", apply_request("a", [make_split(0.7, 1)]))
     nodes.restore(KEY, first.value)
@@ -274,7 +274,7 @@
 
 
 def test_foreign_store_answer_is_left_to_its_owner(nodes):
-    """Guards against an answer of another controller taken by this one."""
+    """Guards against handling an answer to another controller's store call."""
     board = nodes.members["h000"].board
     event = base.StoreAnswered(call_id="other", result=None)
     assert not fleet.controller.take_store_answer(event, board, nodes.now)
--- a/hyssopshelf/configuration/tests/test_declarations.py
+++ b/hyssopshelf/configuration/tests/test_declarations.py
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("path", sorted(EXAMPLES.glob("*.yaml")), ids=lambda p: p.name)
 def test_examples_are_valid_and_survive_a_round_trip(path):
-    """Guards against an example that is refused and fields lost in the document."""
+    """Guards against an example that is rejected and fields lost in encoding."""
     declared = declarations.parse_text(path.read_text())
     changes = attrs.evolve(change("x", declared), pool=declared[0].pool)
     empty = documents.empty_document(declared[0].pool)
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("kind", ["Pool", "Partner", "Rank"])
 def test_deletion_of_a_referenced_resource_is_refused(kind):
-    """Guards against a pool whose resources refer to something that is gone."""
+    """Guards against a pool with references to deleted resources."""
     item = next(item for item in FIRST.resources if item.kind.value == kind)
     remove = documents.Reference(kind=item.kind, name=item.name, resource_version=1)
     document = documents.apply_changes(FIRST, change("x", remove=[remove])).unwrap()
@@ -118,7 +118,7 @@
 
 
 def test_stale_resource_version_conflicts_with_both_versions():
-    """Guards against the change of one of two operators lost silently."""
+    """Guards against a silently lost update when two operators change a split."""
     first = documents.apply_changes(FIRST, change("a", [split_of(FIRST, 0.7)]))
     second = documents.apply_changes(
         first.unwrap(), change("b", [split_of(FIRST, 0.6)])
@@ -133,7 +133,7 @@
 
 
 def test_repeated_change_is_recognised_but_other_content_is_not():
-    """Guards against a change made twice, and one dropped under a used id."""
+    """Guards against a change applied twice, and one dropped for a reused id."""
     changes = change("a", [split_of(FIRST, 0.7)])
     document = documents.apply_changes(FIRST, changes).unwrap()
     assert documents.apply_changes(document, changes).unwrap() is document
@@ -142,7 +142,7 @@
 
 
 def test_change_ids_are_bounded_and_fields_are_compared():
-    """Guards against a document that grows with each change and a wrong diff."""
+    """Guards against an unbounded list of change ids and a wrong diff."""
     document = FIRST
     for number in range(70):
         share = 0.5 + (number % 2) / 4
--- a/hyssopshelf/configuration/tests/test_dissemination.py
+++ b/hyssopshelf/configuration/tests/test_dissemination.py
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("fault", ["none", "down", "slow", "dead", "lost"])
 def test_change_is_in_force_within_the_goal(fault):
-    """Guards against a change that waits for the store or its accepting node."""
+    """Guards against a committed change that needs the store or its accepting node."""
     nodes = start_fleet(40)
     if fault == "lost":
         nodes.store.lost_answers = 1
@@ -69,7 +69,7 @@
 
 
 def test_store_is_watched_after_all_watchers_have_died():
-    """Guards against a duty that stays with hosts that are gone."""
+    """Guards against dead hosts that stay selected as watchers."""
     nodes = start_fleet(12)
     watchers = [
         host
@@ -88,7 +88,7 @@
 
 
 def test_watchers_recover_soon_after_a_store_that_swallowed_their_calls():
-    """Guards against watchers that wait for a store that has forgotten them.
+    """Guards against watchers blocked on calls that the store has dropped.
 
     The target at full size is 7 s for a change.
     """
@@ -104,7 +104,7 @@
 
 
 def test_node_that_was_cut_off_catches_up_and_reports_its_age():
-    """Guards against an old split kept after contact, and silence about it."""
+    """Guards against a stale split after contact returns, and a missing report."""
     nodes = start_fleet(12)
     nodes.members["h003"].cut = True
     change_split(nodes, "h007", 0.7, 1)
@@ -122,7 +122,7 @@
 
 
 def test_starting_node_takes_its_snapshot_from_a_peer():
-    """Guards against a store call by each start."""
+    """Guards against a store call by every starting node."""
     nodes = start_fleet(12)
     nodes.store.down = True
     nodes.store.calls.clear()
@@ -149,10 +149,10 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_starting_node_is_not_taken_back_by_a_peer_that_lags(seed):
-    """Guards against a restart that takes a node back to an older version.
+    """Guards against a node that reverts to an older version by a restart.
 
-    The peer was cut off too briefly to know that it may be behind, so only
-    the comparison with a second peer can tell.
+    The peer was cut off too briefly to report that it may be old, so only
+    the comparison with a second peer detects it.
     """
     nodes = start_fleet(3, seed)
     nodes.members["h002"].cut = True
@@ -183,7 +183,7 @@
 
 
 def test_store_that_lost_data_is_repaired():
-    """Guards against a fleet taken back by a store restored from a backup."""
+    """Guards against nodes that revert after the store is restored from a backup."""
     nodes = start_fleet(8)
     first = nodes.store.entries[test_api.KEY]
     change_split(nodes, "h001", 0.7, 1)
@@ -200,7 +200,7 @@
 
 
 def test_store_that_uses_revisions_again_is_repaired():
-    """Guards against lost data that hides behind a revision that is as high."""
+    """Guards against undetected data loss when the store reuses revisions."""
     nodes = start_fleet(8)
     first = nodes.store.entries[test_api.KEY]
     change_split(nodes, "h001", 0.7, 1)
@@ -240,7 +240,7 @@
 
 
 def test_large_document_travels_in_parts():
-    """Guards against a message that holds up all others."""
+    """Guards against a large message that delays all others."""
     nodes = start_fleet(4)
     partner = next(i for i in test_api.DECLARED if i.name == "steyrtal")
     kinds = tuple(
@@ -295,7 +295,7 @@
 
 
 def test_damaged_document_is_not_applied():
-    """Guards against a document put in force that is not what was accepted."""
+    """Guards against applying a document that does not match its checksum."""
     nodes = start_fleet(3)
     board = nodes.members["h000"].board
     summary = versions.Summary(version=9, checksum=1, pool=POOL)
@@ -308,7 +308,7 @@
 
 
 def test_run_time_state_survives_a_new_document():
-    """Guards against a change of the split that forgets primaries and leaving."""
+    """Guards against a new document that resets primaries or the time of leaving."""
     nodes = start_fleet(1)
     board = nodes.members["h000"].board
     name = f"{POOL}/labels"
@@ -332,10 +332,10 @@
 
 
 class Dissemination(stateful.RuleBasedStateMachine):
-    """Changes, cuts, restarts and store faults in any order.
+    """Random sequences of changes, partitions, restarts and store faults.
 
-    Guards against a node that goes back to an older version and a fleet that
-    does not agree after the faults have ended.
+    Guards against a node that reverts to an older version and nodes that do
+    not converge after the faults have ended.
     """
 
     hosts = strategies.sampled_from([f"h{number:03}" for number in range(5)])
@@ -350,7 +350,7 @@
 
     @stateful.rule(host=hosts)
     def change(self, host):
-        """Change the split through any node from what that node has in force."""
+        """Change the split through any node, based on the version in force there."""
         document = self.nodes.members[host].board.documents.get(POOL)
         if document is None:
             return
@@ -387,7 +387,7 @@
 
     @stateful.rule(seconds=strategies.sampled_from([0.05, 0.3, 2.0]))
     def run(self, seconds):
-        """Let time pass and check each node on the way."""
+        """Advance the clock and check each node after every event."""
         self.nodes.run(seconds, self.check)
 
     def check(self):
@@ -398,7 +398,7 @@
         return False
 
     def teardown(self):
-        """End all faults; the fleet agrees and no accepted change is missing."""
+        """End all faults; all nodes converge and no accepted change is missing."""
         for member in self.nodes.members.values():
             member.cut = False
         self.disturb_store(False, 0.003, 0)
@@ -411,7 +411,7 @@
         for caller in self.accepted:
             answer = self.nodes.answers.get(caller)
             if answer is None:
-                continue  # The node that was asked has died.
+                continue  # The accepting node was restarted.
             if answer.error is None:
                 assert answer.body["changeId"] in made
             elif answer.error is not test_api.ErrorKind.OUTCOME_UNKNOWN:
--- a/hyssopshelf/configuration/tests/test_validation.py
+++ b/hyssopshelf/configuration/tests/test_validation.py
@@ -26,19 +26,22 @@
 
 @pytest.mark.parametrize("names", ["abc", "ab", "abcd"])
 def test_one_endpoint_may_come_or_go(names):
-    """Guards against a rule that forbids any change of a group."""
+    """Guards against a rule that rejects every change of a group."""
     validation.check_change(make_document("abc"), make_document(names))
 
 
 @pytest.mark.parametrize("names", ["abd", "a", "de"])
 def test_groups_whose_majorities_may_miss_each_other_are_refused(names):
-    """Guards against two primaries while nodes hold different versions."""
+    """Guards against two primaries while nodes hold different versions.
+
+    Majorities of the old and the new group would not always intersect.
+    """
     with pytest.raises(exceptions.ValidationError, match="one endpoint at a time"):
         validation.check_change(make_document("abc"), make_document(names))
 
 
 def test_too_large_group_is_refused():
-    """Guards against a replica that follows a replaced primary and looks fresh."""
+    """Guards against a replica that follows a replaced primary and reports no lag."""
     spec = make_document("abcde").resources[0].spec
     with pytest.raises(exceptions.ValidationError, match="more than 4"):
         validation.check_pool(spec)
