--- a/hyssopshelf/configuration/api.py
+++ b/hyssopshelf/configuration/api.py
@@ -95,10 +95,10 @@
     """Read the document from the store."""
     operation.candidate = None
     get = platform.Get(key=documents.key_of(operation.request.pool))
-    _call(board, operation, get, now)
+    _call_store(board, operation, get, now)
 
 
-def _call(board, operation: progress.ApiOperation, call, now: float) -> None:
+def _call_store(board, operation: progress.ApiOperation, call, now: float) -> None:
     operation.call_id = board.next_id()
     operation.call_deadline = now + CALL_TIMEOUT_SECONDS
     board.act(base.CallStore(call_id=operation.call_id, operation=call))
@@ -215,7 +215,7 @@
         value=declarations.encode_document(candidate),
         revision=operation.revision,
     )
-    _call(board, operation, swap, now)
+    _call_store(board, operation, swap, now)
 
 
 def _names_only_missing(request, document: resources.Document) -> bool:
--- a/hyssopshelf/configuration/dissemination.py
+++ b/hyssopshelf/configuration/dissemination.py
@@ -294,14 +294,14 @@
         pull.summary = message.summary
         pull.parts.clear()
         if message.offset != 0:
-            _ask_next(board, pull, pool, now)
+            _request_next_part(board, pull, pool, now)
             return
     if message.offset != len(pull.parts):
         return
     pull.parts += message.data
     if len(pull.parts) < message.total:
         if message.data:
-            _ask_next(board, pull, pool, now)
+            _request_next_part(board, pull, pool, now)
         return
     del board.configuration.pulls[pool]
     try:
@@ -320,7 +320,7 @@
     )
 
 
-def _ask_next(board, pull: progress.Pull, pool: str, now: float) -> None:
+def _request_next_part(board, pull: progress.Pull, pool: str, now: float) -> None:
     """Ask for the next part of a document."""
     pull.deadline = now + PULL_TIMEOUT_SECONDS
     send(board, pull.host, PullRequest(pool=pool, offset=len(pull.parts)))
@@ -416,7 +416,7 @@
             continue
         pull.host = pull.others.pop(0)
         pull.parts.clear()
-        _ask_next(board, pull, pool, now)
+        _request_next_part(board, pull, pool, now)
 
 
 def _compare_digest(board, now: float) -> None:
--- a/hyssopshelf/configuration/snapshots.py
+++ b/hyssopshelf/configuration/snapshots.py
@@ -141,7 +141,7 @@
     snapshot = board.configuration.snapshot
     busy = snapshot.host or snapshot.call_id or snapshot.loaded
     if not board.configuration_ready and not busy:
-        _ask_peer(board, host, now)
+        _request_part(board, host, now)
 
 
 @base.receive.register
@@ -163,16 +163,16 @@
         return
     dissemination.record_contact(board, now)
     for entry in message.entries:
-        _take_entry(board, entry, host, now)
+        _apply_entry(board, entry, host, now)
     if message.last:
-        _start_confirming(board, host, now)
+        _start_confirmation(board, host, now)
         return
     if message.entries:
         snapshot.after = message.entries[-1].summary.pool
-    _ask_peer(board, host, now)
+    _request_part(board, host, now)
 
 
-def _take_entry(board, entry: SnapshotEntry, host: str, now: float) -> None:
+def _apply_entry(board, entry: SnapshotEntry, host: str, now: float) -> None:
     """Apply a document of a snapshot, or pull it if it was left out."""
     if not board.configuration.table.is_newer(entry.summary):
         return
@@ -189,14 +189,14 @@
     )
 
 
-def _ask_peer(board, host: str, now: float) -> None:
+def _request_part(board, host: str, now: float) -> None:
     snapshot = board.configuration.snapshot
     snapshot.host = host
     snapshot.deadline = now + ANSWER_TIMEOUT_SECONDS
     dissemination.send(board, host, SnapshotRequest(after=snapshot.after))
 
 
-def _start_confirming(board, host: str, now: float) -> None:
+def _start_confirmation(board, host: str, now: float) -> None:
     """Compare the snapshot with other peers before the node is ready."""
     snapshot = board.configuration.snapshot
     snapshot.loaded = True
@@ -217,7 +217,7 @@
     if snapshot.started_at is None:
         snapshot.started_at = now
     if snapshot.loaded:
-        _finish_confirming(board, now)
+        _finish_confirmation(board, now)
         return
     if snapshot.call_id:
         if now >= snapshot.deadline:
@@ -229,14 +229,14 @@
     if snapshot.host:
         snapshot.host = ""
         snapshot.silent += 1
-    if _must_read_store(board, now):
+    if _should_read_store(board, now):
         _read_store(board, now)
         return
     for host in peers.choose_peers(board, 1):
-        _ask_peer(board, host, now)
+        _request_part(board, host, now)
 
 
-def _finish_confirming(board, now: float) -> None:
+def _finish_confirmation(board, now: float) -> None:
     """Become ready once peers have confirmed or timed out and no pull is pending."""
     snapshot = board.configuration.snapshot
     waiting = snapshot.confirming and now < snapshot.deadline
@@ -244,7 +244,7 @@
         _become_ready(board, now, "peer")
 
 
-def _must_read_store(board, now: float) -> bool:
+def _should_read_store(board, now: float) -> bool:
     """Return whether the snapshot has to come from the store."""
     snapshot = board.configuration.snapshot
     if now < snapshot.store_at:
--- a/hyssopshelf/configuration/status.py
+++ b/hyssopshelf/configuration/status.py
@@ -109,11 +109,11 @@
         query.missing[board.identity.host] = held
         query.missing_count = 1
     board.configuration.queries[query.id] = query
-    _ask(board, query, hosts, now)
+    _query_hosts(board, query, hosts, now)
     _finish_if_complete(board, query)
 
 
-def _ask(
+def _query_hosts(
     board, query: progress.StatusQuery, hosts: tuple[str, ...], now: float
 ) -> None:
     """Query a few hosts and assign each a part of the list."""
@@ -165,14 +165,14 @@
     node is counted twice.
     """
     query.retry_at = now + (query.deadline - now) * RETRY_SHARE
-    leading = {host: rest for host, rest in query.waiting.items() if rest}
-    if not leading:
+    bypassed = {host: rest for host, rest in query.waiting.items() if rest}
+    if not bypassed:
         query.retry_at = query.deadline
         return
-    for host, rest in leading.items():
+    for host, rest in bypassed.items():
         del query.waiting[host]
         _count_silent(query, (host,))
-        _ask(board, query, rest, now)
+        _query_hosts(board, query, rest, now)
 
 
 def _count_silent(query: progress.StatusQuery, hosts: tuple[str, ...]) -> None:
--- a/hyssopshelf/configuration/tests/test_api.py
+++ b/hyssopshelf/configuration/tests/test_api.py
@@ -261,7 +261,7 @@
     assert answer.error is ErrorKind.UNAVAILABLE
 
 
-def test_documents_of_a_store_that_lost_data_are_not_built_upon(nodes):
+def test_changes_are_not_based_on_documents_of_a_restored_store(nodes):
     """Guards against a change based on an older document of a restored store."""
     first = nodes.store.entries[KEY]
     ask(nodes, "h001", apply_request("a", [make_split(0.7, 1)]))
@@ -273,7 +273,7 @@
     assert nodes.reversions == 0
 
 
-def test_foreign_store_answer_is_left_to_its_owner(nodes):
+def test_store_answer_of_another_controller_is_ignored(nodes):
     """Guards against handling an answer to another controller's store call."""
     board = nodes.members["h000"].board
     event = base.StoreAnswered(call_id="other", result=None)
--- a/hyssopshelf/configuration/tests/test_declarations.py
+++ b/hyssopshelf/configuration/tests/test_declarations.py
@@ -43,7 +43,7 @@
     assert declarations.parse_resources(plain) == declared
 
 
-FAULTS = [
+INVALID_DECLARATIONS = [
     ("priehradka: 0.9", "priehradka: 0.8", "spec.capacity", "add up to 1"),
     ("priehradka: 0.9", "priehradka: .nan", "spec.capacity", "finite"),
     ("floor: 0.5", "floor: 0.7", "Rank: spec.floor", "at most 1"),
@@ -69,8 +69,8 @@
 ]
 
 
-@pytest.mark.parametrize(("good", "bad", "field", "rule"), FAULTS)
-def test_fault_is_refused_with_field_and_rule(good, bad, field, rule):
+@pytest.mark.parametrize(("good", "bad", "field", "rule"), INVALID_DECLARATIONS)
+def test_invalid_declaration_is_refused_with_field_and_rule(good, bad, field, rule):
     """Guards against a faulty declaration accepted or refused without a reason."""
     assert good in TEXT
     with pytest.raises(exceptions.ValidationError) as caught:
@@ -110,7 +110,7 @@
         validation.check_document(document)
 
 
-def split_of(document, share):
+def change_shares(document, share):
     held = next(i for i in document.resources if i.kind is resources.ResourceKind.SPLIT)
     shares = {"priehradka": share, "steyrtal": 1 - share}
     spec = resources.SplitSpec(capacity=shares, bill=shares)
@@ -119,13 +119,13 @@
 
 def test_stale_resource_version_conflicts_with_both_versions():
     """Guards against a silently lost update when two operators change a split."""
-    first = documents.apply_changes(FIRST, change("a", [split_of(FIRST, 0.7)]))
+    first = documents.apply_changes(FIRST, change("a", [change_shares(FIRST, 0.7)]))
     second = documents.apply_changes(
-        first.unwrap(), change("b", [split_of(FIRST, 0.6)])
+        first.unwrap(), change("b", [change_shares(FIRST, 0.6)])
     )
     assert isinstance(second, result.Err)
     assert (second.err_value.given, second.err_value.current) == (1, 2)
-    unversioned = attrs.evolve(split_of(FIRST, 0.6), resource_version=0)
+    unversioned = attrs.evolve(change_shares(FIRST, 0.6), resource_version=0)
     again = documents.apply_changes(first.unwrap(), change("c", [unversioned]))
     assert isinstance(again, result.Err)
     based = change("d", [unversioned], base_version=2)
@@ -134,10 +134,10 @@
 
 def test_repeated_change_is_recognised_but_other_content_is_not():
     """Guards against a change applied twice, and one dropped for a reused id."""
-    changes = change("a", [split_of(FIRST, 0.7)])
+    changes = change("a", [change_shares(FIRST, 0.7)])
     document = documents.apply_changes(FIRST, changes).unwrap()
     assert documents.apply_changes(document, changes).unwrap() is document
-    other = change("a", [split_of(document, 0.6)])
+    other = change("a", [change_shares(document, 0.6)])
     assert documents.apply_changes(document, other).unwrap().version == 3
 
 
@@ -146,7 +146,7 @@
     document = FIRST
     for number in range(70):
         share = 0.5 + (number % 2) / 4
-        changes = change(f"c{number}", [split_of(document, share)])
+        changes = change(f"c{number}", [change_shares(document, share)])
         document = documents.apply_changes(document, changes).unwrap()
     assert len(document.change_ids) == documents.MAXIMUM_CHANGE_IDS
     assert document.version == 71
@@ -161,7 +161,11 @@
 
 def test_equal_versions_settle_on_one_content_in_either_order():
     """Guards against nodes that keep different contents of one version."""
-    one = documents.apply_changes(FIRST, change("a", [split_of(FIRST, 0.7)])).unwrap()
-    two = documents.apply_changes(FIRST, change("b", [split_of(FIRST, 0.6)])).unwrap()
+    one = documents.apply_changes(
+        FIRST, change("a", [change_shares(FIRST, 0.7)])
+    ).unwrap()
+    two = documents.apply_changes(
+        FIRST, change("b", [change_shares(FIRST, 0.6)])
+    ).unwrap()
     assert documents.supersedes(one, two) is not documents.supersedes(two, one)
     assert not documents.supersedes(FIRST, one)
--- a/hyssopshelf/configuration/tests/test_dissemination.py
+++ b/hyssopshelf/configuration/tests/test_dissemination.py
@@ -38,13 +38,13 @@
     return nodes.request(host, request)
 
 
-def commits(nodes):
+def is_committed(nodes):
     return documents.key_of(POOL) in nodes.store.entries and (
         test_api.stored(nodes).version == 2
     )
 
 
-def all_have(nodes, version):
+def all_in_force(nodes, version):
     return set(nodes.versions(POOL).values()) == {version}
 
 
@@ -55,7 +55,7 @@
     if fault == "lost":
         nodes.store.lost_answers = 1
     caller = change_split(nodes, "h007", 0.7, 1)
-    assert nodes.run(2, lambda: commits(nodes))
+    assert nodes.run(2, lambda: is_committed(nodes))
     committed_at = nodes.now
     if fault == "dead":
         nodes.kill("h007")
@@ -63,7 +63,7 @@
         assert nodes.run(1, lambda: caller in nodes.answers)
         nodes.store.down = fault == "down"
         nodes.store.delay_seconds = 10.0
-    assert nodes.run(5, lambda: all_have(nodes, 2))
+    assert nodes.run(5, lambda: all_in_force(nodes, 2))
     assert nodes.now - committed_at <= GOAL_SECONDS
     assert nodes.reversions == 0
 
@@ -82,12 +82,12 @@
     nodes.run(6)
     accepting = next(host for host in nodes.hosts if host not in watchers)
     change_split(nodes, accepting, 0.7, 1)
-    assert nodes.run(2, lambda: commits(nodes))
+    assert nodes.run(2, lambda: is_committed(nodes))
     nodes.kill(accepting)
-    assert nodes.run(GOAL_SECONDS, lambda: all_have(nodes, 2))
+    assert nodes.run(GOAL_SECONDS, lambda: all_in_force(nodes, 2))
 
 
-def test_watchers_recover_soon_after_a_store_that_swallowed_their_calls():
+def test_watchers_recover_after_a_store_that_dropped_their_calls():
     """Guards against watchers blocked on calls that the store has dropped.
 
     The target at full size is 7 s for a change.
@@ -98,9 +98,9 @@
     nodes.run(30)
     nodes.store.down = False
     change_split(nodes, "h007", 0.7, 1)
-    assert nodes.run(2, lambda: commits(nodes))
+    assert nodes.run(2, lambda: is_committed(nodes))
     nodes.kill("h007")
-    assert nodes.run(7, lambda: all_have(nodes, 2))
+    assert nodes.run(7, lambda: all_in_force(nodes, 2))
 
 
 def test_node_that_was_cut_off_catches_up_and_reports_its_age():
@@ -115,7 +115,7 @@
     old = nodes.logged(logs.LogEvent.CONFIGURATION_MAY_BE_OLD)
     assert [item[1] for item in old] == ["h003"]
     nodes.members["h003"].cut = False
-    assert nodes.run(2, lambda: all_have(nodes, 2))
+    assert nodes.run(2, lambda: all_in_force(nodes, 2))
     nodes.run(1)
     assert board.counters["configuration_may_be_old"] == 0
     assert nodes.logged(logs.LogEvent.CONFIGURATION_CONTACT_REGAINED)
@@ -133,7 +133,7 @@
     assert nodes.run(2, nodes.ready)
     taken = [item[2].fields for item in nodes.logged(logs.LogEvent.SNAPSHOT_TAKEN)]
     assert [fields["source"] for fields in taken[-2:]] == ["peer", "peer"]
-    assert all_have(nodes, 1)
+    assert all_in_force(nodes, 1)
 
 
 def test_starting_node_reads_the_store_if_no_peer_answers():
@@ -143,12 +143,12 @@
         nodes.members[host].alive = False
     nodes.restart("h003")
     assert nodes.run(6, nodes.ready)
-    assert all_have(nodes, 1)
+    assert all_in_force(nodes, 1)
     assert nodes.members["h003"].board.pools[POOL].slots == 2
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_starting_node_is_not_taken_back_by_a_peer_that_lags(seed):
+def test_starting_node_does_not_revert_to_the_version_of_a_lagging_peer(seed):
     """Guards against a node that reverts to an older version by a restart.
 
     The peer was cut off too briefly to report that it may be old, so only
@@ -187,7 +187,7 @@
     nodes = start_fleet(8)
     first = nodes.store.entries[test_api.KEY]
     change_split(nodes, "h001", 0.7, 1)
-    assert nodes.run(2, lambda: all_have(nodes, 2))
+    assert nodes.run(2, lambda: all_in_force(nodes, 2))
     nodes.restore(test_api.KEY, first.value)
     nodes.run(5)
     assert test_api.stored(nodes).version == 2
@@ -204,7 +204,7 @@
     nodes = start_fleet(8)
     first = nodes.store.entries[test_api.KEY]
     change_split(nodes, "h001", 0.7, 1)
-    assert nodes.run(2, lambda: all_have(nodes, 2))
+    assert nodes.run(2, lambda: all_in_force(nodes, 2))
     nodes.stop_store()
     nodes.run(1)
     nodes.store.entries[test_api.KEY] = first
@@ -255,10 +255,10 @@
     )
     request = test_api.apply_request("c", [partner])
     assert test_api.ask(nodes, "h001", request).error is None
-    assert nodes.run(3, lambda: all_have(nodes, 2))
+    assert nodes.run(3, lambda: all_in_force(nodes, 2))
     nodes.restart("h002")
     assert nodes.run(3, nodes.ready)
-    assert all_have(nodes, 2)
+    assert all_in_force(nodes, 2)
     assert dissemination.PART_BYTES < nodes.largest < MAXIMUM_MESSAGE_BYTES
 
 
--- a/hyssopshelf/configuration/tests/test_validation.py
+++ b/hyssopshelf/configuration/tests/test_validation.py
@@ -25,13 +25,13 @@
 
 
 @pytest.mark.parametrize("names", ["abc", "ab", "abcd"])
-def test_one_endpoint_may_come_or_go(names):
+def test_one_endpoint_may_be_added_or_removed(names):
     """Guards against a rule that rejects every change of a group."""
     validation.check_change(make_document("abc"), make_document(names))
 
 
 @pytest.mark.parametrize("names", ["abd", "a", "de"])
-def test_groups_whose_majorities_may_miss_each_other_are_refused(names):
+def test_groups_whose_majorities_may_not_intersect_are_refused(names):
     """Guards against two primaries while nodes hold different versions.
 
     Majorities of the old and the new group would not always intersect.
--- a/hyssopshelf/configuration/watching.py
+++ b/hyssopshelf/configuration/watching.py
@@ -68,9 +68,9 @@
         return
     if watch.call_id and now >= watch.deadline:
         watch.call_id = ""
-        _delay_retry(board, now)
+        _schedule_retry(board, now)
     if not watch.call_id and now >= watch.next_at:
-        _call(board, now)
+        _call_store(board, now)
     _send_repairs(board, now)
 
 
@@ -90,7 +90,7 @@
     state.watch.index = index
 
 
-def _delay_retry(board, now: float) -> None:
+def _schedule_retry(board, now: float) -> None:
     watch = board.configuration.watch
     watch.retry_seconds = min(
         max(2 * watch.retry_seconds, FIRST_RETRY_SECONDS), MAXIMUM_RETRY_SECONDS
@@ -101,7 +101,7 @@
     watch.revision = None
 
 
-def _call(board, now: float) -> None:
+def _call_store(board, now: float) -> None:
     """Read all documents the first time, then wait for changes."""
     watch = board.configuration.watch
     watch.call_id = board.next_id()
@@ -129,29 +129,29 @@
         return False
     watch.call_id = ""
     if event.result.is_err():
-        _delay_retry(board, now)
+        _schedule_retry(board, now)
         return True
     board.configuration.heard_at = now
     watch.retry_seconds = 0.0
     watch.next_at = now
     answer = event.result.unwrap()
     if isinstance(answer, platform.Changes):
-        _take_entries(board, answer.entries, now)
+        _apply_entries(board, answer.entries, now)
         # A revision below the one already read means that the store lost data;
         # all documents are then read again.
         lost = answer.revision < watch.revision
         watch.revision = None if lost else answer.revision
         return True
-    _take_entries(board, answer, now)
+    _apply_entries(board, answer, now)
     watch.revision = max((entry.revision for entry in answer), default=0)
     offered = {entry.key for entry in answer}
     for pool in board.documents:
         if documents.key_of(pool) not in offered:
-            _plan_repair(board, pool, 0, (), now)
+            _schedule_repair(board, pool, 0, (), now)
     return True
 
 
-def _take_entries(board, entries, now: float) -> None:
+def _apply_entries(board, entries, now: float) -> None:
     """Apply newer documents and schedule the repair of older ones."""
     for entry in entries:
         if _is_in_force(board, entry):
@@ -165,7 +165,9 @@
         dissemination.apply_if_newer(board, document, now, source="store")
         held = board.documents[document.pool]
         if documents.supersedes(held, document):
-            _plan_repair(board, document.pool, entry.revision, document.change_ids, now)
+            _schedule_repair(
+                board, document.pool, entry.revision, document.change_ids, now
+            )
 
 
 def _is_in_force(board, entry) -> bool:
@@ -182,7 +184,7 @@
     return True
 
 
-def _plan_repair(board, pool, revision, change_ids, now: float) -> None:
+def _schedule_repair(board, pool, revision, change_ids, now: float) -> None:
     watch = board.configuration.watch
     held = board.documents[pool].change_ids
     watch.repairs[pool] = progress.Repair(
@@ -225,7 +227,7 @@
     repair = watch.repairs.pop(pool, None)
     if not swapped.succeeded:
         if swapped.current is not None:
-            _take_entries(board, (swapped.current,), now)
+            _apply_entries(board, (swapped.current,), now)
         return
     board.count("configuration_repaired_total")
     board.log(
