--- a/hyssopshelf/configuration/api.py
+++ b/hyssopshelf/configuration/api.py
@@ -1,8 +1,8 @@
 """Controller of the resource API.
 
-A change is a read of the pool's document and a compare-and-swap. An answer of
-the store that does not come or is an error leaves the outcome open; the
-document is then read again and searched for the change id.
+A change is a read of the pool's document and a compare-and-swap. If the store
+times out or returns an error, the outcome is unknown; the document is then read
+again and searched for the change id.
 """
 
 from hyssopshelf import base, exceptions, logs, messages, platform
@@ -21,10 +21,10 @@
 ErrorKind = exceptions.ErrorKind
 
 CALL_TIMEOUT_SECONDS = 3.0
-"""Time after which a store call is settled by reading back.
+"""Time after which a store call times out and the document is read back.
 
-It is longer than the store adapter's own limit of 2 s. A shorter time would
-drop every answer of a slow store, and no change would be accepted.
+It is longer than the store adapter's own limit of 2 s. A shorter timeout would
+discard every answer of a slow store, and no change would be accepted.
 """
 
 FIRST_RETRY_SECONDS = 0.1
@@ -32,10 +32,10 @@
 MAXIMUM_RETRY_SECONDS = 1.0
 
 MAXIMUM_WAIT_SECONDS = 60.0
-"""Longest time that a request may wait."""
+"""Maximum time that a request may wait."""
 
 MAXIMUM_OPERATIONS = 1_000
-"""Requests that wait at the same time; each waiting watch is one."""
+"""Maximum number of concurrently waiting requests, watches included."""
 
 
 def answer(board, caller: str, body: dict) -> None:
@@ -78,7 +78,7 @@
 
 
 def _start_change(board, caller: str, request, now: float) -> None:
-    """Check a change on its own and read the document."""
+    """Validate the request without the document, then read the document."""
     if not request.change_id:
         refuse(board, caller, ErrorKind.BAD_REQUEST, "changeId: is missing")
         return
@@ -95,17 +95,17 @@
     """Read the document from the store."""
     operation.candidate = None
     get = platform.Get(key=documents.key_of(operation.request.pool))
-    _call(board, operation, get, now)
+    _call_store(board, operation, get, now)
 
 
-def _call(board, operation: progress.ApiOperation, call, now: float) -> None:
+def _call_store(board, operation: progress.ApiOperation, call, now: float) -> None:
     operation.call_id = board.next_id()
     operation.call_deadline = now + CALL_TIMEOUT_SECONDS
     board.act(base.CallStore(call_id=operation.call_id, operation=call))
 
 
 def take_store_answer(event: base.StoreAnswered, board, now: float) -> bool:
-    """Go on with a change; return whether the answer belongs to one."""
+    """Continue a change after a store call; return whether the call was made here."""
     for operation in board.configuration.operations.values():
         if operation.call_id and operation.call_id == event.call_id:
             break
@@ -113,7 +113,7 @@
         return False
     operation.call_id = ""
     if event.result.is_err():
-        _settle_failure(operation, board, now)
+        _schedule_read_back(operation, board, now)
         return True
     board.configuration.heard_at = now
     found = event.result.unwrap()
@@ -126,11 +126,14 @@
     return True
 
 
-def _settle_failure(operation: progress.ApiOperation, board, now: float) -> None:
-    """Plan to read the document back after a call with an unknown outcome."""
+def _schedule_read_back(operation: progress.ApiOperation, board, now: float) -> None:
+    """Schedule a read of the document after a store call failed or timed out.
+
+    The outcome of a failed compare-and-swap is unknown until that read.
+    """
     operation.call_id = ""
     if operation.candidate is not None:
-        operation.unsure_revision = operation.revision
+        operation.unresolved_revision = operation.revision
     operation.retry_seconds = min(
         max(2 * operation.retry_seconds, FIRST_RETRY_SECONDS), MAXIMUM_RETRY_SECONDS
     )
@@ -166,14 +169,14 @@
     """Apply the change to the stored document and write it if it is valid.
 
     A write with an unknown outcome may still reach the store. While the
-    document has the revision that this write expects, the change is written
-    again: the store accepts one of the two at most. At another revision the
-    old write can no longer take effect.
+    document is at the revision that this write expects, the change is written
+    again: the store accepts at most one of the two writes. At another revision
+    the earlier write can no longer take effect.
     """
     request = operation.request
     operation.revision = entry.revision if entry else 0
-    if operation.revision != operation.unsure_revision:
-        operation.unsure_revision = None
+    if operation.revision != operation.unresolved_revision:
+        operation.unresolved_revision = None
     try:
         stored = declarations.decode_document(entry.value) if entry else None
     except exceptions.CodecError as error:
@@ -182,13 +185,13 @@
     current = stored or documents.empty_document(request.pool)
     held = board.documents.get(request.pool)
     if held is not None and documents.supersedes(held, current):
-        # The store lost data; the change is made to what is in force.
+        # The store lost data; the change is applied to the document in force.
         current = held
     changes = _build_changes(request, current)
     if documents.contains_change(current, changes):
         _accept(board, operation, current, now)
         return
-    if _finds_nothing(request, current):
+    if _names_only_missing(request, current):
         message = "none of the resources exists"
         _close_refused(board, operation, ErrorKind.NOT_FOUND, message)
         return
@@ -212,10 +215,10 @@
         value=declarations.encode_document(candidate),
         revision=operation.revision,
     )
-    _call(board, operation, swap, now)
+    _call_store(board, operation, swap, now)
 
 
-def _finds_nothing(request, document: resources.Document) -> bool:
+def _names_only_missing(request, document: resources.Document) -> bool:
     """Return whether a deletion names only resources that do not exist."""
     if not isinstance(request, requests.Delete) or not request.references:
         return False
@@ -227,7 +230,7 @@
     """Put an accepted document in force and answer."""
     del board.configuration.operations[operation.id]
     if document.version:
-        dissemination.adopt(board, document, now, source="commit")
+        dissemination.apply_if_newer(board, document, now, source="commit")
     board.count("configuration_accepted_total")
     request = operation.request
     fields = {"pool": request.pool, "version": document.version}
@@ -243,8 +246,8 @@
 
 
 def _close_refused(board, operation, error: ErrorKind, message: str, **body) -> None:
-    """Answer that a change was not made, unless an open write may still make it."""
-    if operation.unsure_revision is not None:
+    """Answer that a change was not made, or unknown while a write is unresolved."""
+    if operation.unresolved_revision is not None:
         _close_unknown(board, operation)
         return
     del board.configuration.operations[operation.id]
@@ -272,10 +275,10 @@
     )
 
 
-def _close_late(board, operation: progress.ApiOperation) -> None:
+def _close_expired(board, operation: progress.ApiOperation) -> None:
     """Answer a change at its deadline."""
     if operation.candidate is not None:
-        operation.unsure_revision = operation.revision
+        operation.unresolved_revision = operation.revision
     message = "the store did not answer; the change was not made"
     _close_refused(board, operation, ErrorKind.UNAVAILABLE, message)
 
@@ -332,7 +335,7 @@
 def _diff(board, caller: str, request: requests.Diff, now: float) -> None:
     empty = documents.empty_document(request.pool)
     held = board.documents.get(request.pool, empty)
-    # The versions of the held document make every declared resource acceptable.
+    # With the held document's version as base, no declared resource conflicts.
     changes = documents.ChangeSet(
         pool=request.pool,
         change_id="diff",
@@ -366,7 +369,7 @@
 
 
 def _answer_watch(board, operation: progress.ApiOperation, now: float) -> None:
-    """Answer a watch that has something new or whose time is over."""
+    """Answer a watch whose version has increased or whose deadline has passed."""
     request = operation.request
     document = board.documents.get(request.pool)
     version = document.version if document else 0
@@ -395,7 +398,7 @@
 
 
 def _answer_status(board, operation: progress.ApiOperation) -> None:
-    """Answer a status request once all nodes have answered or were given up."""
+    """Answer a status request once all nodes have answered or timed out."""
     queries = board.configuration.queries.values()
     query = next((item for item in queries if item.operation == operation.id), None)
     if query is None or query.waiting:
@@ -416,7 +419,7 @@
 
 
 def step(board, now: float) -> None:
-    """Go on with the requests that wait for the store, a version or a time."""
+    """Advance requests that wait for the store, a version or a deadline."""
     for operation in list(board.configuration.operations.values()):
         if isinstance(operation.request, requests.Watch):
             _answer_watch(board, operation, now)
@@ -428,10 +431,10 @@
 
 def _step_change(board, operation: progress.ApiOperation, now: float) -> None:
     if now >= operation.deadline:
-        _close_late(board, operation)
+        _close_expired(board, operation)
     elif operation.call_id:
         if now >= operation.call_deadline:
-            _settle_failure(operation, board, now)
+            _schedule_read_back(operation, board, now)
     elif now >= operation.next_at:
         _read(board, operation, now)
 
--- a/hyssopshelf/configuration/snapshots.py
+++ b/hyssopshelf/configuration/snapshots.py
@@ -1,8 +1,8 @@
-"""The snapshot of all documents that a starting node takes.
+"""Loads a snapshot of all documents on a starting node.
 
-It comes from a peer, or from the store if no peer answers. Before the node is
-ready it compares its digest with further peers, so that a peer that lags
-behind does not take it back to an older version.
+The snapshot comes from a peer, or from the store if no peer answers. Before
+the node becomes ready it compares its digest with further peers, so that a
+peer that lags does not make it revert to an older version.
 """
 
 import attrs
@@ -19,10 +19,10 @@
 ANSWER_TIMEOUT_SECONDS = 0.5
 
 MAXIMUM_SILENT = 3
-"""Peers that may stay silent before the store is read."""
+"""Requests to peers that may time out before the store is read."""
 
 MAXIMUM_OLD = 3
-"""Peers passed over because their configuration may be old."""
+"""Maximum number of peers skipped because their configuration may be old."""
 
 HOST_LIST_SECONDS = 2.0
 """Time that a node without any peer waits for the host list."""
@@ -32,8 +32,8 @@
 UNREADY_LIMIT = 20
 """Answers of starting nodes after which any node may read the store.
 
-When the whole fleet starts, the watchers read the store within a second and
-the others take the snapshot from them; this limit covers watchers that fail.
+When all nodes start together, the watchers read the store within a second and
+the others take the snapshot from them; this limit covers failed watchers.
 """
 
 STORE_TIMEOUT_SECONDS = 5.0
@@ -42,11 +42,11 @@
 
 CONFIRMING_PEERS = 2
 
-MAXIMUM_ASKERS = 8
-"""Starting nodes that a starting node tells when it is ready."""
+MAXIMUM_HOSTS_TO_NOTIFY = 8
+"""Maximum number of starting nodes that a node notifies when it is ready."""
 
 PART_DOCUMENTS = 32
-"""Documents in one part; encoding them takes a few milliseconds of the peer."""
+"""Documents in one part; encoding them takes the peer a few milliseconds."""
 
 
 @messages.register("configuration.snapshot_request")
@@ -92,23 +92,23 @@
 @messages.register("configuration.snapshot_ready")
 @attrs.frozen(kw_only=True)
 class SnapshotReady:
-    """The sender, which had none when it was asked, now has a snapshot."""
+    """Notify a host whose request was refused that the sender is now ready."""
 
 
 @base.receive.register
 def receive_request(message: SnapshotRequest, board, host, now):
     """Send a part of the snapshot to a starting node."""
     if not board.configuration_ready:
-        askers = board.configuration.snapshot.askers
-        if len(askers) < MAXIMUM_ASKERS:
-            askers.add(host)
+        hosts_to_notify = board.configuration.snapshot.hosts_to_notify
+        if len(hosts_to_notify) < MAXIMUM_HOSTS_TO_NOTIFY:
+            hosts_to_notify.add(host)
         part = SnapshotPart(after=message.after, ready=False)
         dissemination.send(board, host, part)
         return
-    # Taken before the request counts as contact: the question is whether the
-    # documents were kept up to date until now.
+    # Read before the request counts as contact: the flag has to tell whether
+    # the documents were kept up to date until now.
     old = board.configuration.reported_old
-    dissemination.note_peer(board, now)
+    dissemination.record_contact(board, now)
     dissemination.send(board, host, _build_part(board, message.after, old))
 
 
@@ -137,11 +137,11 @@
 
 @base.receive.register
 def receive_ready(message: SnapshotReady, board, host, now):
-    """Take the snapshot from a peer that has become ready."""
+    """Request the snapshot from a peer that has become ready."""
     snapshot = board.configuration.snapshot
     busy = snapshot.host or snapshot.call_id or snapshot.loaded
     if not board.configuration_ready and not busy:
-        _ask_peer(board, host, now)
+        _request_part(board, host, now)
 
 
 @base.receive.register
@@ -161,42 +161,42 @@
         snapshot.host = ""
         snapshot.deadline = now
         return
-    dissemination.note_peer(board, now)
+    dissemination.record_contact(board, now)
     for entry in message.entries:
-        _take_entry(board, entry, host, now)
+        _apply_entry(board, entry, host, now)
     if message.last:
-        _start_confirming(board, host, now)
+        _start_confirmation(board, host, now)
         return
     if message.entries:
         snapshot.after = message.entries[-1].summary.pool
-    _ask_peer(board, host, now)
+    _request_part(board, host, now)
 
 
-def _take_entry(board, entry: SnapshotEntry, host: str, now: float) -> None:
+def _apply_entry(board, entry: SnapshotEntry, host: str, now: float) -> None:
     """Apply a document of a snapshot, or pull it if it was left out."""
     if not board.configuration.table.is_newer(entry.summary):
         return
     if not entry.data:
-        dissemination.consider(board, entry.summary, host, False, now)
+        dissemination.pull_if_newer(board, entry.summary, host, False, now)
         return
     try:
         document = dissemination.decompress(entry.data, entry.summary)
     except exceptions.CodecError as error:
         dissemination.report_damage(board, entry.summary.pool, host, error)
         return
-    dissemination.adopt(
+    dissemination.apply_if_newer(
         board, document, now, source=host, fresh=False, summary=entry.summary
     )
 
 
-def _ask_peer(board, host: str, now: float) -> None:
+def _request_part(board, host: str, now: float) -> None:
     snapshot = board.configuration.snapshot
     snapshot.host = host
     snapshot.deadline = now + ANSWER_TIMEOUT_SECONDS
     dissemination.send(board, host, SnapshotRequest(after=snapshot.after))
 
 
-def _start_confirming(board, host: str, now: float) -> None:
+def _start_confirmation(board, host: str, now: float) -> None:
     """Compare the snapshot with other peers before the node is ready."""
     snapshot = board.configuration.snapshot
     snapshot.loaded = True
@@ -210,14 +210,14 @@
 
 
 def step(board, now: float) -> None:
-    """Go on with the snapshot of a node that is not ready."""
+    """Advance the snapshot of a node that is not ready."""
     if board.configuration_ready:
         return
     snapshot = board.configuration.snapshot
     if snapshot.started_at is None:
         snapshot.started_at = now
     if snapshot.loaded:
-        _finish_confirming(board, now)
+        _finish_confirmation(board, now)
         return
     if snapshot.call_id:
         if now >= snapshot.deadline:
@@ -229,22 +229,22 @@
     if snapshot.host:
         snapshot.host = ""
         snapshot.silent += 1
-    if _must_read_store(board, now):
+    if _should_read_store(board, now):
         _read_store(board, now)
         return
     for host in peers.choose_peers(board, 1):
-        _ask_peer(board, host, now)
+        _request_part(board, host, now)
 
 
-def _finish_confirming(board, now: float) -> None:
-    """Become ready when the awaited peers answered and nothing is being pulled."""
+def _finish_confirmation(board, now: float) -> None:
+    """Become ready once peers have confirmed or timed out and no pull is pending."""
     snapshot = board.configuration.snapshot
     waiting = snapshot.confirming and now < snapshot.deadline
     if not waiting and not board.configuration.pulls:
         _become_ready(board, now, "peer")
 
 
-def _must_read_store(board, now: float) -> bool:
+def _should_read_store(board, now: float) -> bool:
     """Return whether the snapshot has to come from the store."""
     snapshot = board.configuration.snapshot
     if now < snapshot.store_at:
@@ -266,7 +266,7 @@
 
 
 def take_store_answer(event: base.StoreAnswered, board, now: float) -> bool:
-    """Apply the documents of the store; return whether the answer belongs here."""
+    """Apply the stored documents; return whether the call was made here."""
     snapshot = board.configuration.snapshot
     if not event.call_id or event.call_id != snapshot.call_id:
         return False
@@ -282,7 +282,7 @@
         except exceptions.CodecError as error:
             dissemination.report_damage(board, entry.key, "store", error)
             continue
-        dissemination.adopt(board, document, now, source="store", fresh=False)
+        dissemination.apply_if_newer(board, document, now, source="store", fresh=False)
     _become_ready(board, now, "store")
     return True
 
@@ -290,7 +290,7 @@
 def _become_ready(board, now: float, source: str) -> None:
     snapshot = board.configuration.snapshot
     board.configuration_ready = True
-    for host in sorted(snapshot.askers):
+    for host in sorted(snapshot.hosts_to_notify):
         dissemination.send(board, host, SnapshotReady())
     board.log(
         logs.LogEvent.SNAPSHOT_TAKEN,
