--- a/hyssopshelf/consistency/reads.py
+++ b/hyssopshelf/consistency/reads.py
@@ -1,4 +1,4 @@
-"""Which endpoint may serve a read, and whether an answer satisfies it."""
+"""Checks whether the state of an endpoint satisfies the consistency of a read."""
 
 import enum
 
--- a/hyssopshelf/consistency/routing.py
+++ b/hyssopshelf/consistency/routing.py
@@ -1,4 +1,4 @@
-"""Choice of the endpoint for a statement at its entry node."""
+"""Chooses the endpoint for a statement at its entry node."""
 
 import attrs
 
@@ -6,10 +6,10 @@
 from hyssopshelf.consistency import reads
 
 STATUS_TRUST_SECONDS = 1.0
-"""An entry node tries a replica again when its knowledge is older than this."""
+"""Age from which a replica's last known status no longer rules it out."""
 
 CATCH_UP_SECONDS = 0.05
-"""A replica whose data is not older than this is worth a short wait."""
+"""A replica that is behind is tried if its lag is below this: it soon catches up."""
 
 
 @attrs.frozen(kw_only=True)
@@ -67,9 +67,9 @@
 
 
 def _may_satisfy(record, request, required, now: float) -> bool:
-    """Return whether a replica is worth trying.
+    """Return whether a replica may satisfy a read.
 
-    The serving node decides; an unknown or old state is worth a try.
+    The serving node decides, so a replica with an unknown or old state is tried.
     """
     status = record.status
     if status is None or now - record.status_asked_at > STATUS_TRUST_SECONDS:
--- a/hyssopshelf/failover/watchers.py
+++ b/hyssopshelf/failover/watchers.py
@@ -1,4 +1,4 @@
-"""Which databases this node watches, and at which place in the order.
+"""Selects the databases that this node watches and its rank for each.
 
 The order of the hosts of a database is a rendezvous order among the hosts that
 follow the database on a hash ring. With at most ``CANDIDATES`` live hosts this
@@ -21,7 +21,7 @@
 
 @functools.lru_cache(maxsize=65536)
 def compute_point(name: str) -> int:
-    """Return the place of a host or database on the ring."""
+    """Return the point of a host or database on the hash ring."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest())
 
 
@@ -31,7 +31,7 @@
 
 
 class Ring:
-    """Live hosts sorted by their place on the ring."""
+    """Live hosts sorted by their point on the ring."""
 
     def __init__(self, hosts) -> None:
         self._hosts = sorted((compute_point(host), host) for host in hosts)
@@ -62,7 +62,7 @@
 
 @attrs.define(kw_only=True)
 class DatabaseRing:
-    """Databases sorted by their place on the ring."""
+    """Databases sorted by their point on the ring."""
 
     names: frozenset[str] = frozenset()
     points: list[tuple[int, str]] = attrs.field(factory=list)
