--- a/benchmarks/bench_control.py
+++ b/benchmarks/bench_control.py
@@ -170,7 +170,7 @@
     fleet.run(2.0)
     figures = measure_window(fleet, WINDOW_SECONDS, sockets)
     figures["served"] = len(fleet.board.placement_state.served)
-    figures["watched"] = len(fleet.board.failover.watching.watches)
+    figures["watched"] = len(fleet.board.failover.detection_state.watches)
     return figures
 
 
@@ -273,7 +273,7 @@
     fleet.run(2.0)
     figures["steady"] = measure_window(fleet, WINDOW_SECONDS, sockets)
     figures["served"] = len(fleet.board.placement_state.served)
-    figures["watched"] = len(fleet.board.failover.watching.watches)
+    figures["watched"] = len(fleet.board.failover.detection_state.watches)
     axes = {axis: run_rates(fleet, axis, sockets) for axis in RATES}
     sizes = [len(data) for _, data in fleet.packed.values()]
     figures["compressed_document_bytes"] = round(sum(sizes) / len(sizes))
--- a/hyssopshelf/failover/detection.py
+++ b/hyssopshelf/failover/detection.py
@@ -104,7 +104,7 @@
 
 def step(board, now: float) -> None:
     """Poll the watched databases and replace primaries that are lost."""
-    state = board.failover.watching
+    state = board.failover.detection_state
     if board.pause_seconds > 0:
         restart_observations(board, now)
     if now >= state.refreshed_at + REFRESH_SECONDS:
@@ -123,7 +123,7 @@
 
 def restart_observations(board, now: float) -> None:
     """Forget what was observed before a pause of this node."""
-    state = board.failover.watching
+    state = board.failover.detection_state
     state.polls.clear()
     state.questions.clear()
     for watch in state.watches.values():
@@ -150,17 +150,17 @@
         terms.learn_status(board, status)
     reachability.receive_status(board, probe_id, status)
     promotion.receive_status(board, endpoint, probe_id, status, now)
-    poll = board.failover.watching.polls.get(probe_id)
+    poll = board.failover.detection_state.polls.get(probe_id)
     if poll is None or endpoint not in poll.waiting:
         return
     poll.waiting.discard(endpoint)
     if not poll.waiting:
-        del board.failover.watching.polls[probe_id]
+        del board.failover.detection_state.polls[probe_id]
     if status is not None and known is not None:
         if poll.asked_at > known.status_asked_at:
             known.status = status
             known.status_asked_at = poll.asked_at
-        watch = board.failover.watching.watches.get(poll.database)
+        watch = board.failover.detection_state.watches.get(poll.database)
         if watch is not None:
             _note_report(board, poll, watch, endpoint, status, now)
     elif status is None:
@@ -169,8 +169,8 @@
 
 @base.receive.register
 def _(message: reachability.ProbeReported, board, host: str, now: float) -> None:
-    database = board.failover.watching.questions.get(message.request_id)
-    watch = board.failover.watching.watches.get(database or "")
+    database = board.failover.detection_state.questions.get(message.request_id)
+    watch = board.failover.detection_state.watches.get(database or "")
     record = board.databases.get(database or "")
     if watch is None or record is None or record.primary != message.endpoint:
         return
@@ -183,7 +183,7 @@
 
 def _has_changed(board, now: float) -> bool:
     """Return whether the watched databases may differ from the last computation."""
-    state = board.failover.watching
+    state = board.failover.detection_state
     hosts_key = (board.membership.version, len(board.hosts), board.draining)
     databases_key = (board.configuration.changes, len(board.databases))
     changed = hosts_key != state.hosts_key
@@ -200,7 +200,7 @@
 
 
 def _refresh_watches(board, now: float) -> None:
-    state = board.failover.watching
+    state = board.failover.detection_state
     changed = state.ring.update(board.databases.keys())
     own = board.identity.host
     hosts = {own} if not board.draining else set()
@@ -229,11 +229,11 @@
     unknown = [
         name
         for name, record in board.databases.items()
-        if not record.primary and name not in board.failover.watching.watches
+        if not record.primary and name not in board.failover.detection_state.watches
     ]
-    board.failover.watching.complete = not unknown
-    first = board.failover.watching.next_unknown
-    board.failover.watching.next_unknown += LEARNED_DATABASES
+    board.failover.detection_state.complete = not unknown
+    first = board.failover.detection_state.next_unknown
+    board.failover.detection_state.next_unknown += LEARNED_DATABASES
     for step_number in range(min(LEARNED_DATABASES, len(unknown))):
         request_primary(board, unknown[(first + step_number) % len(unknown)], now)
 
@@ -250,7 +250,7 @@
 
 def _send_poll(board, database: str, endpoints, now: float) -> None:
     probe_id = board.next_id()
-    board.failover.watching.polls[probe_id] = Poll(
+    board.failover.detection_state.polls[probe_id] = Poll(
         database=database, asked_at=now, waiting=set(endpoints)
     )
     for endpoint in endpoints:
@@ -258,7 +258,7 @@
 
 
 def _note_silence(board, poll: Poll, endpoint: str) -> None:
-    watch = board.failover.watching.watches.get(poll.database)
+    watch = board.failover.detection_state.watches.get(poll.database)
     record = board.databases.get(poll.database)
     if watch is None or record is None or record.primary != endpoint:
         return
@@ -274,7 +274,7 @@
         observations.restart(watch, record.term, now)
     if status.term > watch.highest_term:
         watch.highest_term = status.term
-        if status.term > board.failover.promotions.proposed.get(record.name, 0):
+        if status.term > board.failover.promotion_state.proposed.get(record.name, 0):
             watch.progress_at = now
     previous = watch.reports.get(endpoint)
     if previous is None or previous.asked_at <= poll.asked_at:
@@ -315,7 +315,7 @@
         status.role is messages.Role.REPLICA and status.primary == record.primary
     ):
         return
-    if record.name in board.failover.promotions.running:
+    if record.name in board.failover.promotion_state.running:
         return
     if now < watch.followed_at.get(endpoint, float("-inf")) + FOLLOW_SECONDS:
         return
@@ -340,7 +340,7 @@
             watch.unanswered = [*watch.unanswered[-KEPT_UNANSWERED:], now]
         _send_poll(board, database, record.endpoints, now)
     _update_suspicion(board, record, watch, now)
-    if database in board.failover.promotions.running:
+    if database in board.failover.promotion_state.running:
         return
     if watch.suspicious_since is not None:
         _ask_other_hosts(board, record, watch, now)
@@ -372,7 +372,7 @@
         return
     watch.asked_at = now
     request_id = board.next_id()
-    board.failover.watching.questions[request_id] = record.name
+    board.failover.detection_state.questions[request_id] = record.name
     watch.asked = len(reachability.ask_hosts(board, record.primary, request_id))
 
 
--- a/hyssopshelf/failover/leases.py
+++ b/hyssopshelf/failover/leases.py
@@ -74,10 +74,10 @@
 
 def prepare(board, database: str, now: float) -> None:
     """Ask for the lease of a database unless that was done lately."""
-    lease = board.failover.stored.leases.get(database)
+    lease = board.failover.lease_state.leases.get(database)
     if lease is not None and now < lease.asked_at + LEASE_SECONDS:
         return
-    board.failover.stored.leases[database] = Lease(asked_at=now)
+    board.failover.lease_state.leases[database] = Lease(asked_at=now)
     _call(
         board,
         "grant",
@@ -91,20 +91,20 @@
 
     The time counts on this node's clock, whatever the store says.
     """
-    lease = board.failover.stored.leases.get(database)
+    lease = board.failover.lease_state.leases.get(database)
     return lease is not None and now < lease.blocked_until
 
 
 def release(board, database: str) -> None:
     """Give the lease back."""
-    lease = board.failover.stored.leases.pop(database, None)
+    lease = board.failover.lease_state.leases.pop(database, None)
     if lease is not None and lease.lease:
         _call(board, "revoke", database, platform.RevokeLease(lease=lease.lease))
 
 
 def record_primary(board, database: str, term: int, primary: str, now: float) -> None:
     """Write a change of primary to the store as soon as the store answers."""
-    board.failover.stored.pending[database] = PendingRecord(
+    board.failover.lease_state.pending[database] = PendingRecord(
         term=term, primary=primary, next_at=now
     )
     step(board, now)
@@ -112,7 +112,7 @@
 
 def step(board, now: float) -> None:
     """Repeat attempts to write records."""
-    for database, pending in list(board.failover.stored.pending.items()):
+    for database, pending in list(board.failover.lease_state.pending.items()):
         if now >= pending.next_at:
             pending.next_at = now + RETRY_SECONDS
             _call(board, "read", database, platform.Get(key=_get_key(database)))
@@ -120,7 +120,7 @@
 
 def receive_store(board, call_id: str, result, now: float) -> bool:
     """Use the end of a store call; return False if it is not of this module."""
-    call = board.failover.stored.calls.pop(call_id, None)
+    call = board.failover.lease_state.calls.pop(call_id, None)
     if call is None:
         return False
     name, database = call
@@ -141,7 +141,7 @@
 
 
 def _claim(board, database: str, lease_id: int) -> None:
-    lease = board.failover.stored.leases.get(database)
+    lease = board.failover.lease_state.leases.get(database)
     if lease is None:
         _call(board, "revoke", database, platform.RevokeLease(lease=lease_id))
         return
@@ -160,7 +160,7 @@
 
 
 def _note_claim(board, database: str, swapped: platform.Swapped, now: float) -> None:
-    lease = board.failover.stored.leases.get(database)
+    lease = board.failover.lease_state.leases.get(database)
     if lease is None or swapped.succeeded or swapped.current is None:
         return
     if swapped.current.value != board.identity.host.encode():
@@ -173,11 +173,11 @@
 
 
 def _write(board, database: str, entry: platform.Entry | None) -> None:
-    pending = board.failover.stored.pending.get(database)
+    pending = board.failover.lease_state.pending.get(database)
     if pending is None:
         return
     if entry is not None and _read_term(entry) >= pending.term:
-        del board.failover.stored.pending[database]
+        del board.failover.lease_state.pending[database]
         return
     _call(
         board,
@@ -194,9 +194,9 @@
 
 
 def _finish_record(board, database: str, entry: platform.Entry) -> None:
-    pending = board.failover.stored.pending.get(database)
+    pending = board.failover.lease_state.pending.get(database)
     if pending is not None and _read_term(entry) >= pending.term:
-        del board.failover.stored.pending[database]
+        del board.failover.lease_state.pending[database]
 
 
 def encode_record(record: PrimaryRecord) -> bytes:
@@ -218,5 +218,5 @@
 
 def _call(board, name: str, database: str, operation) -> None:
     call_id = board.next_id()
-    board.failover.stored.calls[call_id] = (name, database)
+    board.failover.lease_state.calls[call_id] = (name, database)
     board.act(base.CallStore(call_id=call_id, operation=operation))
--- a/hyssopshelf/failover/promotion.py
+++ b/hyssopshelf/failover/promotion.py
@@ -144,7 +144,7 @@
 
 def start(board, database: str, reason: Reason, excluded: str, now: float) -> bool:
     """Start to replace the primary of a database; return whether it started."""
-    state = board.failover.promotions
+    state = board.failover.promotion_state
     if database in state.running or database not in board.databases:
         return False
     if now < state.not_before.get(database, now):
@@ -183,7 +183,7 @@
     now : float
         Time on the node's monotonic clock, in seconds.
     """
-    state = board.failover.promotions
+    state = board.failover.promotion_state
     record = board.databases.get(database)
     if record is None or target not in record.endpoints or not record.primary:
         return False
@@ -213,12 +213,12 @@
 
 def step(board, now: float) -> None:
     """Repeat unanswered calls and give up attempts that take too long."""
-    for attempt in list(board.failover.promotions.running.values()):
+    for attempt in list(board.failover.promotion_state.running.values()):
         if board.pause_seconds > 0:
             # Others may have replaced this promoter; look at the group anew.
             _fail(board, attempt, "this node was paused", now)
         elif attempt.database not in board.databases:
-            del board.failover.promotions.running[attempt.database]
+            del board.failover.promotion_state.running[attempt.database]
         else:
             _step_attempt(board, attempt, now)
     leases.step(board, now)
@@ -297,14 +297,14 @@
 
 
 def _find_attempt(board, call_id: str) -> Promotion | None:
-    state = board.failover.promotions
+    state = board.failover.promotion_state
     database, attempt_id = state.calls.pop(call_id, ("", ""))
     attempt = state.running.get(database)
     return attempt if attempt is not None and attempt.id == attempt_id else None
 
 
 def _start_fencing(board, attempt: Promotion, now: float) -> None:
-    state = board.failover.promotions
+    state = board.failover.promotion_state
     record = board.databases[attempt.database]
     attempt.term = max(record.fenced_term, state.proposed.get(record.name, 0)) + 1
     attempt.old_primary = record.primary if record.term == attempt.term - 1 else ""
@@ -349,7 +349,7 @@
 
 def _add_call(board, attempt: Promotion) -> str:
     call_id = board.next_id()
-    board.failover.promotions.calls[call_id] = (attempt.database, attempt.id)
+    board.failover.promotion_state.calls[call_id] = (attempt.database, attempt.id)
     return call_id
 
 
@@ -421,7 +421,7 @@
     if not answer.granted:
         _fail(board, attempt, "the chosen endpoint refused", now)
         return
-    state = board.failover.promotions
+    state = board.failover.promotion_state
     state.running.pop(attempt.database, None)
     record = board.databases[attempt.database]
     # The status in the answer has already told the term to this node.
@@ -445,7 +445,7 @@
 
 
 def _fail(board, attempt: Promotion, why: str, now: float) -> None:
-    state = board.failover.promotions
+    state = board.failover.promotion_state
     state.running.pop(attempt.database, None)
     state.not_before[attempt.database] = now + BACKOFF_SECONDS * (
         1 + 2 * board.random.random()
@@ -460,7 +460,7 @@
 
 def _finish(board, attempt: Promotion, now: float) -> None:
     """Give back the lease and end the hold of new writes."""
-    state = board.failover.promotions
+    state = board.failover.promotion_state
     for call_id, (_, attempt_id) in list(state.calls.items()):
         if attempt_id == attempt.id:
             del state.calls[call_id]
--- a/hyssopshelf/failover/reachability.py
+++ b/hyssopshelf/failover/reachability.py
@@ -86,11 +86,11 @@
 
 def receive_status(board, probe_id: str, status) -> None:
     """Report the end of a probe that another host asked for."""
-    probe = board.failover.asking.probes.get(probe_id)
+    probe = board.failover.reachability_state.probes.get(probe_id)
     if probe is None:
         return
     if status is not None:
-        del board.failover.asking.probes[probe_id]
+        del board.failover.reachability_state.probes[probe_id]
         _report(board, probe, reached=True)
     elif not probe.reported:
         _report(board, probe, reached=False)
@@ -98,9 +98,9 @@
 
 def step(board, now: float) -> None:
     """Report failures in time and forget old probes."""
-    for probe_id, probe in list(board.failover.asking.probes.items()):
+    for probe_id, probe in list(board.failover.reachability_state.probes.items()):
         if now >= probe.asked_at + KEPT_SECONDS:
-            del board.failover.asking.probes[probe_id]
+            del board.failover.reachability_state.probes[probe_id]
         elif not probe.reported and now >= probe.asked_at + ANSWER_SECONDS:
             if board.pause_seconds > 0:
                 # The answer may wait unread in this process.
@@ -115,7 +115,7 @@
     if message.endpoint not in board.endpoints:
         # A host that does not know the endpoint cannot tell anything.
         return
-    board.failover.asking.probes[probe_id] = AskedProbe(
+    board.failover.reachability_state.probes[probe_id] = AskedProbe(
         host=host,
         request_id=message.request_id,
         endpoint=message.endpoint,
--- a/hyssopshelf/failover/state.py
+++ b/hyssopshelf/failover/state.py
@@ -1,4 +1,4 @@
-"""State of the failover controllers on the blackboard."""
+"""State of the failover controllers, kept on the blackboard."""
 
 import attrs
 
@@ -7,12 +7,16 @@
 
 @attrs.define(kw_only=True)
 class FailoverState:
-    """State of detection, promotion and the spreading of terms."""
+    """State of each failover controller of this node."""
 
-    watching: detection.DetectionState = attrs.field(factory=detection.DetectionState)
-    asking: reachability.ReachabilityState = attrs.field(
+    detection_state: detection.DetectionState = attrs.field(
+        factory=detection.DetectionState
+    )
+    reachability_state: reachability.ReachabilityState = attrs.field(
         factory=reachability.ReachabilityState
     )
-    promotions: promotion.PromotionState = attrs.field(factory=promotion.PromotionState)
-    stored: leases.LeaseState = attrs.field(factory=leases.LeaseState)
-    spreading: terms.TermState = attrs.field(factory=terms.TermState)
+    promotion_state: promotion.PromotionState = attrs.field(
+        factory=promotion.PromotionState
+    )
+    lease_state: leases.LeaseState = attrs.field(factory=leases.LeaseState)
+    term_state: terms.TermState = attrs.field(factory=terms.TermState)
--- a/hyssopshelf/failover/terms.py
+++ b/hyssopshelf/failover/terms.py
@@ -98,7 +98,7 @@
 
 def announce(board, database: str, now: float) -> None:
     """Spread the primary of a database that this node learned first."""
-    board.failover.spreading.recent[database] = now + REPEAT_SECONDS
+    board.failover.term_state.recent[database] = now + REPEAT_SECONDS
     record = board.databases[database]
     _pass_on(
         board,
@@ -121,14 +121,17 @@
 
 def step(board, now: float) -> None:
     """Repeat recent changes of primary to a random peer."""
-    if not board.failover.spreading.recent or now < board.failover.spreading.repeat_at:
+    if (
+        not board.failover.term_state.recent
+        or now < board.failover.term_state.repeat_at
+    ):
         return
-    board.failover.spreading.repeat_at = now + REPEAT_INTERVAL_SECONDS
+    board.failover.term_state.repeat_at = now + REPEAT_INTERVAL_SECONDS
     peers = find_peers(board)
-    for database, until in list(board.failover.spreading.recent.items()):
+    for database, until in list(board.failover.term_state.recent.items()):
         record = board.databases.get(database)
         if record is None or now >= until:
-            del board.failover.spreading.recent[database]
+            del board.failover.term_state.recent[database]
         elif peers:
             message = TermAnnounced(
                 database=database, term=record.term, primary=record.primary
@@ -162,7 +165,7 @@
 def _apply_hold(board, message: WritesHeld, now: float) -> bool:
     """Apply a hold or its end; return whether it was new."""
     record = board.databases[message.database]
-    changes = board.failover.spreading.changes.setdefault(message.database, {})
+    changes = board.failover.term_state.changes.setdefault(message.database, {})
     ends = message.remaining_seconds <= 0
     # Every change is remembered: with only the last one, the messages of two
     # changes at the same time would be new to each other without end.
--- a/hyssopshelf/failover/tests/test_leases.py
+++ b/hyssopshelf/failover/tests/test_leases.py
@@ -57,4 +57,4 @@
     entry = platform.Entry(key=write.key, value=newer, revision=9)
     leases.receive_store(board, take_call(board).call_id, Ok(entry), 11.0)
     assert take_call(board) is None
-    assert group.DATABASE not in board.failover.stored.pending
+    assert group.DATABASE not in board.failover.lease_state.pending
--- a/hyssopshelf/failover/tests/test_promotion.py
+++ b/hyssopshelf/failover/tests/test_promotion.py
@@ -57,7 +57,7 @@
     @stateful.rule(host=HOSTS, excluded=st.booleans())
     def start_promotion(self, host, excluded):
         board = self.group.boards[host]
-        board.failover.promotions.not_before.clear()
+        board.failover.promotion_state.not_before.clear()
         old = board.databases[group.DATABASE].primary if excluded else ""
         reason = promotion.Reason.LEADERLESS
         promotion.start(board, group.DATABASE, reason, old, self.group.now)
