--- a/hyssopshelf/standins/__init__.py
+++ b/hyssopshelf/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform's services and for database instances."""
+"""Local servers that stand in for the platform's services and for databases."""
--- a/hyssopshelf/standins/endpoint.py
+++ b/hyssopshelf/standins/endpoint.py
@@ -1,4 +1,4 @@
-"""A database instance as a process: the pure instance behind tornado."""
+"""Server that runs a stand-in database instance behind websockets."""
 
 import asyncio
 import itertools
@@ -18,16 +18,17 @@
 
 REPLICATION_PATH = "/v1/replication"
 FAULTS_PATH = "/v1/faults"
-HOLD_SECONDS = 0.02
-"""Time for which a primary holds a fetch that has nothing to return."""
+LONG_POLL_SECONDS = 0.02
+"""Time that a primary waits for entries before it answers a fetch without any,
+in seconds."""
 
-RETRY_SECONDS = 0.05
-"""Pause of a replica after a failed fetch, in seconds."""
+FETCH_RETRY_SECONDS = 0.05
+"""Pause of a replica before it fetches again after a failure, in seconds."""
 
 FETCH_TIMEOUT_SECONDS = 1.0
-"""Time after which a replica gives up a fetch, in seconds."""
+"""Timeout of a fetch and of the connection for it, in seconds."""
 
-_CONNECTIONS = itertools.count()
+_CONNECTION_NUMBERS = itertools.count()
 
 
 @attrs.define(kw_only=True)
@@ -37,15 +38,21 @@
     Parameters
     ----------
     instance : database.Instance
-        The instance.
+        State of the instance.
     slots : int
-        Requests that run at the same time; further ones wait in their order.
+        Requests that run at the same time; further ones wait in FIFO order.
     service_seconds : float
-        Time that a request takes.
+        Duration of a request in its slot.
     connect_seconds : float
-        Time to accept a connection.
+        Delay before the greeting on a new connection.
     peers : dict of str to str
         Addresses of the other instances of the group by full name.
+    address : str
+        ``IP:port`` of the server once it listens.
+    frozen : bool
+        Whether replication is paused.
+    executed : int
+        Number of requests run so far.
     """
 
     instance: database.Instance
@@ -63,7 +70,7 @@
     _replication: asyncio.Task | None = attrs.field(default=None, init=False)
 
     def start(self, port: int = 0, host: str = "127.0.0.1") -> None:
-        """Listen on a loopback address and start to replicate."""
+        """Listen on a loopback address and start replication."""
         self._semaphore = asyncio.Semaphore(self.slots)
         arguments = {"server": self}
         application = tornado.web.Application(
@@ -82,20 +89,20 @@
         self._replication = asyncio.ensure_future(self._replicate())
 
     async def stop(self) -> None:
-        """Close all connections."""
+        """Stop replication and listening, and close all connections."""
         self._replication.cancel()
         self._server.stop()
         await self._server.close_all_connections()
 
     @property
     def now(self) -> float:
-        """Return the instance's clock, in seconds."""
+        """Return the time of the event loop, in seconds."""
         return asyncio.get_running_loop().time()
 
     async def execute(
         self, connection: str, request: messages.EndpointRequest
     ) -> messages.EndpointAnswer:
-        """Run a request in a slot."""
+        """Wait for a slot and run a request in it."""
         async with self._semaphore:
             if self.service_seconds > 0:
                 await asyncio.sleep(self.service_seconds)
@@ -107,15 +114,15 @@
             request = self.instance.request_fetch(self.now)
             address = self.peers.get(self.instance.primary)
             if request is None or address is None or self.frozen:
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(FETCH_RETRY_SECONDS)
                 continue
             try:
-                await self._follow(address, self.instance.primary)
-            except (TimeoutError, OSError, *_CLIENT_ERRORS):
-                await asyncio.sleep(RETRY_SECONDS)
+                await self._fetch_from(address, self.instance.primary)
+            except (TimeoutError, OSError, *_FETCH_ERRORS):
+                await asyncio.sleep(FETCH_RETRY_SECONDS)
 
-    async def _follow(self, address: str, primary: str) -> None:
-        """Fetch from one primary until it changes or fails."""
+    async def _fetch_from(self, address: str, primary: str) -> None:
+        """Fetch from one primary until another one replaces it or a fetch fails."""
         url = f"ws://{address}{REPLICATION_PATH}"
         socket = await asyncio.wait_for(
             tornado.websocket.websocket_connect(url), FETCH_TIMEOUT_SECONDS
@@ -139,7 +146,7 @@
 
 
 class _Handler(tornado.websocket.WebSocketHandler):
-    """Base of the websocket handlers."""
+    """Base class of the websocket handlers."""
 
     def initialize(self, server: EndpointServer) -> None:
         self.server = server
@@ -149,33 +156,33 @@
 
 
 class ConnectionHandler(_Handler):
-    """A data connection; requests run one at a time."""
+    """A connection for requests, which run one at a time in order of arrival."""
 
     async def open(self) -> None:
-        """Accept the connection unless the limit is reached."""
+        """Accept the connection, or close it if the limit is reached."""
         self.set_nodelay(True)
-        self.name = f"c{next(_CONNECTIONS)}"
+        self.name = f"c{next(_CONNECTION_NUMBERS)}"
         self.requests: asyncio.Queue = asyncio.Queue()
         self.worker = None
         if not self.server.instance.open_connection(self.name):
             self.close(code=wire.FULL_CLOSE_CODE, reason="no connection left")
             return
         await asyncio.sleep(self.server.connect_seconds)
-        self.worker = asyncio.ensure_future(self._work())
+        self.worker = asyncio.ensure_future(self._run_requests())
         greeting = wire.Greeting(name=self.server.instance.name)
         await self._reply(greeting)
 
     def on_message(self, data: str | bytes) -> None:
-        """Queue a request."""
+        """Append a request to the queue of the connection."""
         self.requests.put_nowait(messages.from_json(data, wire.RequestFrame))
 
     def on_close(self) -> None:
-        """Roll back the connection's transaction."""
+        """Release the connection and roll back its transaction."""
         if self.worker is not None:
             self.worker.cancel()
         self.server.instance.close_connection(self.name)
 
-    async def _work(self) -> None:
+    async def _run_requests(self) -> None:
         while True:
             frame = await self.requests.get()
             answer = await self.server.execute(self.name, frame.request)
@@ -189,14 +196,14 @@
 
 
 class ControlHandler(_Handler):
-    """Control calls, multiplexed by id."""
+    """Runs control calls; replies carry the id of their call."""
 
     def open(self) -> None:
-        """Send small frames at once."""
+        """Disable Nagle's algorithm, so that small frames are sent at once."""
         self.set_nodelay(True)
 
     async def on_message(self, data: str | bytes) -> None:
-        """Carry out a control call."""
+        """Run a control call and reply with the status of the instance."""
         frame = messages.from_json(data, wire.ControlFrame)
         instance, now = self.server.instance, self.server.now
         if frame.fence is not None:
@@ -219,17 +226,17 @@
 
 
 class ReplicationHandler(_Handler):
-    """Fetches of replicas."""
+    """Answers the fetches of replicas."""
 
     def open(self) -> None:
-        """Send small frames at once."""
+        """Disable Nagle's algorithm, so that small frames are sent at once."""
         self.set_nodelay(True)
 
     async def on_message(self, data: str | bytes) -> None:
-        """Answer a fetch; an empty frame tells that this is not the primary."""
+        """Answer a fetch; an empty frame means that this is not the primary."""
         request = messages.from_json(data, database.FetchRequest)
         instance = self.server.instance
-        deadline = self.server.now + HOLD_SECONDS
+        deadline = self.server.now + LONG_POLL_SECONDS
         while instance.position <= request.position and self.server.now < deadline:
             await asyncio.sleep(0.002)
         answer = instance.serve_fetch(request, self.server.now)
@@ -241,7 +248,7 @@
 
 
 class FaultHandler(tornado.web.RequestHandler):
-    """Changes the instance's delays, for tests."""
+    """Sets delays and faults of the instance, for tests."""
 
     def initialize(self, server: EndpointServer) -> None:
         """Store the server."""
@@ -259,7 +266,7 @@
         self.finish({"executed": self.server.executed})
 
 
-_CLIENT_ERRORS = (
+_FETCH_ERRORS = (
     exceptions.CodecError,
     tornado.httpclient.HTTPError,
     tornado.websocket.WebSocketError,
