--- a/benchmarks/bench_failover_processes.py
+++ b/benchmarks/bench_failover_processes.py
@@ -62,7 +62,7 @@
     if fault == "killed":
         fleet.endpoints[primary].kill()
     elif fault == "cut_off":
-        fleet.backs[primary].cut()
+        fleet.backs[primary].disconnect()
     elif fault == "paused":
         fleet.endpoints[primary].send_signal(signal.SIGSTOP)
     else:
--- a/hyssopshelf/standins/faultproxy.py
+++ b/hyssopshelf/standins/faultproxy.py
@@ -10,7 +10,7 @@
 import tornado.tcpserver
 
 CHUNK_BYTES = 64 * 1024
-"""Bytes forwarded at a time at most."""
+"""Largest number of bytes read and forwarded at a time."""
 
 
 @attrs.define(kw_only=True)
@@ -19,21 +19,21 @@
 
     Attributes
     ----------
-    cut : bool
-        Connections are closed and new ones refused.
+    disconnected : bool
+        Connections are closed, new ones as soon as they are accepted.
     stalled : bool
-        Bytes are held back in both directions; connections stay open.
+        Nothing is forwarded in either direction; connections stay open.
     answers_dropped : bool
-        Bytes towards the client are discarded; requests still arrive, so a
-        change takes effect whose answer is lost.
+        Data to the client is discarded. Requests are still forwarded, so that a
+        change takes effect and its answer is lost.
     delay_seconds : float
         Delay of each chunk in each direction.
     jitter_seconds : float
-        Each connection adds a fixed delay up to this, so that answers on
-        different connections change their order.
+        Upper limit of a further delay that is fixed for each connection, so that
+        answers on different connections are reordered.
     """
 
-    cut: bool = False
+    disconnected: bool = False
     stalled: bool = False
     answers_dropped: bool = False
     delay_seconds: float = 0.0
@@ -41,14 +41,14 @@
 
 
 class FaultProxy(tornado.tcpserver.TCPServer):
-    """Forwards connections to a target and injects faults.
+    """Forwards connections to a target, subject to ``faults``.
 
     Parameters
     ----------
     target : str
         ``IP:port`` of the process behind the proxy.
     seed : int
-        Seed of the delays.
+        Seed of the delays of the connections.
     """
 
     def __init__(self, *, target: str, seed: int = 0) -> None:
@@ -65,58 +65,58 @@
         self.add_sockets(sockets)
         self.address = f"{host}:{sockets[0].getsockname()[1]}"
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """Close all connections and refuse new ones."""
-        self.faults.cut = True
+        self.faults.disconnected = True
         for stream in list(self._streams):
             stream.close()
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         """Remove all faults."""
         self.faults = Faults()
 
     def close(self) -> None:
         """Stop listening and close all connections."""
         self.stop()
-        self.cut()
+        self.disconnect()
 
     async def handle_stream(self, stream: tornado.iostream.IOStream, address) -> None:
-        """Forward one connection."""
-        if self.faults.cut:
+        """Forward one connection in both directions until either side closes it."""
+        if self.faults.disconnected:
             stream.close()
             return
         host, _, port = self.target.rpartition(":")
         try:
-            other = await tornado.tcpclient.TCPClient().connect(host, int(port))
+            upstream = await tornado.tcpclient.TCPClient().connect(host, int(port))
         except OSError:
             stream.close()
             return
-        offset = self._random.random()
-        self._streams.update((stream, other))
+        jitter_fraction = self._random.random()
+        self._streams.update((stream, upstream))
         try:
             await asyncio.gather(
-                self._forward(stream, other, offset, towards_client=False),
-                self._forward(other, stream, offset, towards_client=True),
+                self._forward(stream, upstream, jitter_fraction, to_client=False),
+                self._forward(upstream, stream, jitter_fraction, to_client=True),
             )
         finally:
-            self._streams.difference_update((stream, other))
+            self._streams.difference_update((stream, upstream))
 
-    async def _forward(self, source, sink, offset: float, *, towards_client: bool):
+    async def _forward(self, source, sink, jitter_fraction: float, *, to_client: bool):
         try:
             while True:
                 data = await source.read_bytes(CHUNK_BYTES, partial=True)
-                await self._delay(offset)
-                if towards_client and self.faults.answers_dropped:
+                await self._delay(jitter_fraction)
+                if to_client and self.faults.answers_dropped:
                     continue
                 await sink.write(data)
         except tornado.iostream.StreamClosedError:
             source.close()
             sink.close()
 
-    async def _delay(self, offset: float) -> None:
+    async def _delay(self, jitter_fraction: float) -> None:
         faults = self.faults
-        delay = faults.delay_seconds + offset * faults.jitter_seconds
+        delay = faults.delay_seconds + jitter_fraction * faults.jitter_seconds
         if delay > 0:
             await asyncio.sleep(delay)
-        while self.faults.stalled and not self.faults.cut:
+        while self.faults.stalled and not self.faults.disconnected:
             await asyncio.sleep(0.01)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -135,8 +135,8 @@
             ran = error.value.disposition.ran is exceptions.Ran.UNKNOWN
             (unknown if ran else not_run).append(str(number))
             for front in fleet.fronts.values():
-                front.cut()
-                front.heal()
+                front.disconnect()
+                front.clear_faults()
             await asyncio.sleep(0.5)
         values = await read_values(fleet, "lost")
         assert "0" in unknown
@@ -157,8 +157,8 @@
         with pytest.raises(exceptions.AnswerError):
             await session.append("once", "x", kind="scan", idempotency_key="k1")
         for front in fleet.fronts.values():
-            front.cut()
-            front.heal()
+            front.disconnect()
+            front.clear_faults()
         await session.append(
             "once", "x", kind="scan", idempotency_key="k1", timeout_seconds=20.0
         )
@@ -247,7 +247,7 @@
         if fault == "killed":
             fleet.endpoints[primary].kill()
         else:
-            fleet.backs[primary].cut()
+            fleet.backs[primary].disconnect()
         loop = asyncio.get_running_loop()
         stopped_at = loop.time()
         number = 10
