--- a/hyssopshelf/standins/hostlist.py
+++ b/hyssopshelf/standins/hostlist.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's list of hosts, which lags behind the true state."""
+"""Stand-in for the platform's host list, which lags behind the actual state."""
 
 import collections
 import json
@@ -15,33 +15,33 @@
 
 @attrs.define(kw_only=True)
 class HostList:
-    """Hosts as the platform reports them.
+    """Hosts as the platform reports them, with faults that tests set.
 
     Attributes
     ----------
     lag_seconds : float
-        Time after which a change shows in the list.
+        Time after which a change is visible in the list.
     down : bool
         Whether the list answers with an error.
     calls : int
-        Number of reads.
+        Number of reads so far.
     """
 
     lag_seconds: float = 0.0
     down: bool = False
     calls: int = 0
     _hosts: dict[str, platform.HostEntry] = attrs.field(factory=dict, init=False)
-    _versions: collections.deque = attrs.field(factory=collections.deque, init=False)
+    _past_lists: collections.deque = attrs.field(factory=collections.deque, init=False)
 
     def add(self, entry: platform.HostEntry, now: float) -> None:
-        """Add a host or change its row."""
+        """Add a host or replace its entry."""
         self._hosts[entry.name] = entry
-        self._versions.append((now, tuple(self._hosts.values())))
+        self._past_lists.append((now, tuple(self._hosts.values())))
 
     def remove(self, name: str, now: float) -> None:
         """Remove a host."""
         self._hosts.pop(name, None)
-        self._versions.append((now, tuple(self._hosts.values())))
+        self._past_lists.append((now, tuple(self._hosts.values())))
 
     def mark_leaving(self, name: str, now: float) -> None:
         """Mark a host as leaving."""
@@ -51,33 +51,35 @@
         """Return the hosts as they were ``lag_seconds`` ago."""
         self.calls += 1
         visible_at = now - self.lag_seconds
-        while len(self._versions) > 1 and self._versions[1][0] <= visible_at:
-            self._versions.popleft()
-        if not self._versions or self._versions[0][0] > visible_at:
+        while len(self._past_lists) > 1 and self._past_lists[1][0] <= visible_at:
+            self._past_lists.popleft()
+        if not self._past_lists or self._past_lists[0][0] > visible_at:
             return ()
-        return self._versions[0][1]
+        return self._past_lists[0][1]
 
 
 class HostsHandler(tornado.web.RequestHandler):
-    """The route ``/v1/hosts``; a POST changes the list and its faults."""
+    """Serves ``/v1/hosts``; a POST changes the list and its faults."""
 
     def initialize(self, hosts: HostList, clock: Callable[[], float]) -> None:
-        """Keep the list and the clock."""
+        """Store the host list and the clock."""
         self.hosts, self.clock = hosts, clock
 
     def get(self) -> None:
-        """Answer with the hosts."""
+        """Return the visible hosts, or status 503 while the list is down."""
         if self.hosts.down:
             self.set_status(503)
             return
-        rows = [messages.unstructure(row) for row in self.hosts.read(self.clock())]
-        self.finish({"hosts": rows})
+        entries = [
+            messages.unstructure(entry) for entry in self.hosts.read(self.clock())
+        ]
+        self.finish({"hosts": entries})
 
     def post(self) -> None:
-        """Add, remove or mark hosts, or set the lag and the fault ``down``."""
+        """Add, remove or mark hosts, and set ``lag_seconds`` or ``down``."""
         body, now = json.loads(self.request.body), self.clock()
-        for row in body.get("add", []):
-            self.hosts.add(messages.structure(row, platform.HostEntry), now)
+        for entry in body.get("add", []):
+            self.hosts.add(messages.structure(entry, platform.HostEntry), now)
         for name in body.get("remove", []):
             self.hosts.remove(name, now)
         for name in body.get("leaving", []):
@@ -89,7 +91,7 @@
 
 @attrs.define(kw_only=True)
 class HostListServer:
-    """Serves a host list over HTTP."""
+    """Serves a host list over HTTP on a loopback address."""
 
     hosts: HostList
     clock: Callable[[], float] = time.monotonic
@@ -98,17 +100,17 @@
     )
 
     def start(self, *, address: str = "127.0.0.1", port: int = 0) -> int:
-        """Listen on an address and return the port."""
+        """Listen on an address and return the port; port 0 takes a free one."""
         sockets = tornado.netutil.bind_sockets(port, address)
-        parts = {"hosts": self.hosts, "clock": self.clock}
+        arguments = {"hosts": self.hosts, "clock": self.clock}
         application = tornado.web.Application(
-            [("/v1/hosts", HostsHandler, parts)], log_function=lambda handler: None
+            [("/v1/hosts", HostsHandler, arguments)], log_function=lambda handler: None
         )
         self._server = tornado.httpserver.HTTPServer(application)
         self._server.add_sockets(sockets)
         return sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Stop listening and close all connections."""
         self._server.stop()
         await self._server.close_all_connections()
--- a/hyssopshelf/standins/keyvalue.py
+++ b/hyssopshelf/standins/keyvalue.py
@@ -1,7 +1,7 @@
-"""The platform's key-value store as a pure state machine.
+"""State machine of the platform's key-value store, without I/O.
 
-Compare-and-swap, leases, watches, revisions, and faults that can be switched on.
-Time is passed in; ``store`` serves it over HTTP.
+It has compare-and-swap, leases, watches, revisions, and faults that tests switch
+on. The caller passes the time in; ``store`` serves it over HTTP.
 """
 
 import collections
@@ -14,10 +14,10 @@
 from hyssopshelf import exceptions, platform
 
 MAXIMUM_VALUE_BYTES = 1_000_000
-"""Largest value that the store takes, in bytes."""
+"""Largest value that the store accepts, in bytes."""
 
 HISTORY_LENGTH = 10_000
-"""Changes kept for watches; a watch from an older revision is cancelled."""
+"""Number of changes kept for watches; a watch from an older revision is canceled."""
 
 
 class StoreError(exceptions.HyssopshelfError):
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class Record:
-    """A key's value with the revisions of its creation and last change."""
+    """Value and lease of a key with the revisions of its creation and last change."""
 
     key: bytes
     value: bytes
@@ -38,7 +38,7 @@
 
 @attrs.frozen(kw_only=True)
 class Change:
-    """One change of a key; ``record`` is None for a deletion."""
+    """A change of one key; ``record`` is None for a deletion."""
 
     revision: int
     key: bytes
@@ -47,7 +47,7 @@
 
 @attrs.define(kw_only=True)
 class Lease:
-    """A lease with its time to live and the time at which it lapses."""
+    """Time to live of a lease and the time at which it expires."""
 
     time_to_live_seconds: float
     expires_at: float
@@ -55,16 +55,16 @@
 
 @attrs.define(kw_only=True)
 class Faults:
-    """Faults that are switched on.
+    """Faults of the store that tests switch on.
 
     Attributes
     ----------
     down : bool
         Connections are closed without an answer; nothing takes effect.
     delay_seconds : float
-        Time that each call waits before it takes effect.
+        Delay of each call before it takes effect.
     lost_answers : int
-        Number of coming writes that take effect but are not answered.
+        Number of next writes that take effect but get no answer.
     """
 
     down: bool = False
@@ -74,7 +74,7 @@
 
 @attrs.frozen(kw_only=True)
 class Snapshot:
-    """A copy of the store's data at a revision."""
+    """A copy of the data, leases and history of a store at a revision."""
 
     revision: int
     compact_revision: int
@@ -83,10 +83,11 @@
     history: tuple[Change, ...]
 
 
-def _matches(key: bytes, start: bytes, end: bytes) -> bool:
+def _is_in_range(key: bytes, start: bytes, end: bytes) -> bool:
     """Return whether a key is in a range.
 
-    An empty end means one key, a zero byte all keys from the start on.
+    With an empty end the range is the single key ``start``; with a zero byte as
+    the end it is all keys from ``start`` on.
     """
     if not end:
         return key == start
@@ -94,7 +95,7 @@
 
 
 def get_prefix_end(prefix: bytes) -> bytes:
-    """Return the end of the range that holds exactly the keys with a prefix."""
+    """Return the end of the range that has exactly the keys with a prefix."""
     stripped = prefix.rstrip(b"\xff")
     if not stripped:
         return b"\0"
@@ -114,9 +115,9 @@
     faults : Faults
         Faults that are switched on.
     calls : Counter
-        Calls by name; a waiting watch counts as one.
+        Number of calls by name; a watch counts once, however long it waits.
     snapshots : dict of str to Snapshot
-        Snapshots taken with the control route.
+        Snapshots by name, taken through the control route of ``store``.
     """
 
     revision: int = 1
@@ -132,14 +133,14 @@
     _last_lease: int = attrs.field(default=0, init=False)
 
     def read(self, start: bytes, end: bytes = b"") -> list[Record]:
-        """Return the records of a range in the order of their keys."""
+        """Return the records of a range, sorted by key."""
         if not end:
             record = self._records.get(start)
             return [record] if record is not None else []
         return [
             self._records[key]
             for key in sorted(self._records)
-            if _matches(key, start, end)
+            if _is_in_range(key, start, end)
         ]
 
     def get_mod_revision(self, key: bytes) -> int:
@@ -163,29 +164,31 @@
             If the value is too large or the lease does not exist.
         """
         self.check_put(value, lease)
-        old = self._records.get(key)
+        previous = self._records.get(key)
         self.revision += 1
         record = Record(
             key=key,
             value=value,
-            create_revision=old.create_revision if old else self.revision,
+            create_revision=previous.create_revision if previous else self.revision,
             mod_revision=self.revision,
-            version=old.version + 1 if old else 1,
+            version=previous.version + 1 if previous else 1,
             lease=lease,
         )
         self._records[key] = record
-        self._remember(Change(revision=self.revision, key=key, record=record))
+        self._append_to_history(Change(revision=self.revision, key=key, record=record))
         return record
 
     def delete(self, keys: list[bytes]) -> None:
-        """Delete keys in one revision."""
-        present = [key for key in keys if key in self._records]
-        if not present:
+        """Delete the keys that exist, in one revision."""
+        existing = [key for key in keys if key in self._records]
+        if not existing:
             return
         self.revision += 1
-        for key in present:
+        for key in existing:
             del self._records[key]
-            self._remember(Change(revision=self.revision, key=key, record=None))
+            self._append_to_history(
+                Change(revision=self.revision, key=key, record=None)
+            )
 
     def grant_lease(self, time_to_live_seconds: float, now: float) -> int:
         """Create a lease and return its id."""
@@ -197,7 +200,7 @@
         return self._last_lease
 
     def revoke_lease(self, lease: int) -> None:
-        """End a lease and delete its keys.
+        """Revoke a lease and delete its keys.
 
         Raises
         ------
@@ -206,15 +209,17 @@
         """
         if self._leases.pop(lease, None) is None:
             raise StoreError("requested lease not found")
-        bound = [key for key, record in self._records.items() if record.lease == lease]
-        self.delete(bound)
+        attached = [
+            key for key, record in self._records.items() if record.lease == lease
+        ]
+        self.delete(attached)
 
     def expire(self, now: float) -> None:
-        """End the leases whose time to live has passed."""
-        lapsed = [
+        """Revoke the leases whose time to live has passed."""
+        expired = [
             lease for lease, state in self._leases.items() if state.expires_at <= now
         ]
-        for lease in lapsed:
+        for lease in expired:
             self.revoke_lease(lease)
 
     def list_changes(self, start: bytes, end: bytes, first: int) -> list[Change]:
@@ -223,18 +228,18 @@
         Raises
         ------
         StoreError
-            If the history no longer reaches back to the revision.
+            If the revision has been compacted.
         """
         if first <= self.compact_revision:
             raise StoreError("required revision has been compacted")
         return [
             change
             for change in self._history
-            if change.revision >= first and _matches(change.key, start, end)
+            if change.revision >= first and _is_in_range(change.key, start, end)
         ]
 
     def take_snapshot(self) -> Snapshot:
-        """Return a copy of the data."""
+        """Return a copy of the data, leases and history."""
         return Snapshot(
             revision=self.revision,
             compact_revision=self.compact_revision,
@@ -244,10 +249,10 @@
         )
 
     def restore(self, snapshot: Snapshot, now: float) -> None:
-        """Replace the data by a snapshot; its leases start anew.
+        """Replace the data by a snapshot and restart its leases.
 
-        Revisions go back, so that later changes use their numbers again. Lease
-        ids are not used again.
+        The revision goes back, so that later changes reuse revision numbers. Lease
+        ids are not reused.
         """
         self.revision = snapshot.revision
         self.compact_revision = snapshot.compact_revision
@@ -257,7 +262,7 @@
             lease.expires_at = now + lease.time_to_live_seconds
         self._history = collections.deque(snapshot.history)
 
-    def _remember(self, change: Change) -> None:
+    def _append_to_history(self, change: Change) -> None:
         self._history.append(change)
         while len(self._history) > HISTORY_LENGTH:
             self.compact_revision = self._history.popleft().revision
@@ -273,7 +278,7 @@
 
 @functools.singledispatch
 def perform(operation, store: KeyValueStore, now: float):
-    """Carry out an operation of ``platform`` at once and return its result."""
+    """Run an operation of ``platform`` without faults and return its result."""
     raise NotImplementedError(f"unknown operation {type(operation).__name__}")
 
 
@@ -324,17 +329,17 @@
 
 
 def call(store: KeyValueStore, operation, now: float) -> result.Result:
-    """Carry out an operation under the store's faults, without waiting.
+    """Run an operation subject to the store's faults, without waiting.
 
-    Virtual-clock tests use it in place of an adapter. A watch returns the
-    changes that exist already.
+    Tests with a virtual clock use it in place of an adapter. A watch returns the
+    existing changes at once.
 
     Returns
     -------
     Ok(object)
         The operation's result.
     Err(str)
-        The outcome is unknown.
+        Why there is no result; the caller has to treat the outcome as unknown.
     """
     store.calls[type(operation).__name__] += 1
     if store.faults.down:
--- a/hyssopshelf/standins/store.py
+++ b/hyssopshelf/standins/store.py
@@ -1,4 +1,4 @@
-"""The stand-in store as a server: the JSON gateway form of the etcd v3 API.
+"""HTTP server of the stand-in store, with the JSON gateway of the etcd v3 API.
 
 References
 ----------
@@ -23,7 +23,7 @@
 from hyssopshelf.standins import keyvalue
 
 EXPIRY_PERIOD_SECONDS = 0.05
-"""Time between two checks for lapsed leases, in seconds."""
+"""Time between two checks for expired leases, in seconds."""
 
 
 def _encode(data: bytes) -> str:
@@ -31,16 +31,16 @@
 
 
 def _decode(body: dict, *names: str) -> bytes:
-    """Return a bytes field; the gateway takes its JSON and its proto name."""
-    return base64.b64decode(_pick(body, "", *names))
+    """Return a bytes field; the gateway accepts its JSON name and its proto name."""
+    return base64.b64decode(_get_first(body, "", *names))
 
 
-def _pick(body: dict, default, *names: str):
+def _get_first(body: dict, default, *names: str):
     return next((body[name] for name in names if name in body), default)
 
 
-def _render(record: keyvalue.Record) -> dict:
-    """Return a record as the gateway writes it; int64 numbers are strings."""
+def _format_record(record: keyvalue.Record) -> dict:
+    """Return a record in the gateway's JSON form, with int64 numbers as strings."""
     body = {
         "key": _encode(record.key),
         "create_revision": str(record.create_revision),
@@ -51,9 +51,9 @@
     return body | ({"lease": str(record.lease)} if record.lease else {})
 
 
-def _render_change(change: keyvalue.Change) -> dict:
+def _format_change(change: keyvalue.Change) -> dict:
     if change.record is not None:
-        return {"kv": _render(change.record)}
+        return {"kv": _format_record(change.record)}
     deleted = {"key": _encode(change.key), "mod_revision": str(change.revision)}
     return {"type": "DELETE", "kv": deleted}
 
@@ -62,15 +62,18 @@
     records = store.read(_decode(body, "key"), _decode(body, "range_end", "rangeEnd"))
     if not records:
         return {}
-    return {"kvs": [_render(record) for record in records], "count": str(len(records))}
+    return {
+        "kvs": [_format_record(record) for record in records],
+        "count": str(len(records)),
+    }
 
 
-def _holds(store: keyvalue.KeyValueStore, compare: dict) -> bool:
-    """Evaluate a comparison; only EQUAL on MOD is offered."""
+def _evaluate_comparison(store: keyvalue.KeyValueStore, compare: dict) -> bool:
+    """Evaluate a comparison; only EQUAL on MOD is supported."""
     kind = (compare.get("target", "VERSION"), compare.get("result", "EQUAL"))
     if kind != ("MOD", "EQUAL"):
         raise keyvalue.StoreError("only comparisons MOD EQUAL are supported")
-    expected = int(_pick(compare, 0, "mod_revision", "modRevision"))
+    expected = int(_get_first(compare, 0, "mod_revision", "modRevision"))
     return store.get_mod_revision(_decode(compare, "key")) == expected
 
 
@@ -82,9 +85,11 @@
 
 
 def _txn(store: keyvalue.KeyValueStore, body: dict, now: float) -> dict:
-    succeeded = all(_holds(store, compare) for compare in body.get("compare", []))
+    succeeded = all(
+        _evaluate_comparison(store, compare) for compare in body.get("compare", [])
+    )
     requests = body.get("success" if succeeded else "failure", [])
-    puts = [_pick(item, None, "request_put", "requestPut") for item in requests]
+    puts = [_get_first(item, None, "request_put", "requestPut") for item in requests]
     for put in filter(None, puts):
         store.check_put(_decode(put, "value"), int(put.get("lease", 0)))
     responses = []
@@ -92,8 +97,8 @@
         if put is not None:
             responses.append({"response_put": _put(store, put)})
         else:
-            wanted = _pick(request, {}, "request_range", "requestRange")
-            responses.append({"response_range": _range(store, wanted, now)})
+            range_request = _get_first(request, {}, "request_range", "requestRange")
+            responses.append({"response_range": _range(store, range_request, now)})
     answer: dict = {"responses": responses} if responses else {}
     return answer | ({"succeeded": True} if succeeded else {})
 
@@ -110,14 +115,18 @@
 
 @attrs.define(kw_only=True)
 class StoreServer:
-    """Serves a store over HTTP.
+    """Serves a key-value store over HTTP.
 
     Parameters
     ----------
     store : keyvalue.KeyValueStore
-        The state.
+        State of the store.
     clock : callable
-        Returns the time of the leases, in seconds.
+        Returns the time from which leases expire, in seconds.
+    changed : Condition
+        Notified when a key may have changed or a watch may have to end.
+    interrupted : int
+        Number of times that all watches were ended.
     """
 
     store: keyvalue.KeyValueStore
@@ -134,7 +143,7 @@
     )
 
     def start(self, *, address: str = "127.0.0.1", port: int = 0) -> int:
-        """Listen on an address and return the port."""
+        """Listen on an address and return the port; port 0 takes a free one."""
         sockets = tornado.netutil.bind_sockets(port, address)
         self._server = tornado.httpserver.HTTPServer(make_application(self))
         self._server.add_sockets(sockets)
@@ -145,26 +154,32 @@
         return sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Stop listening and end the watches."""
+        """Stop listening, end the watches and close all connections."""
         self._timer.stop()
         self._server.stop()
         self.interrupt_watches()
         await self._server.close_all_connections()
 
     def expire(self) -> None:
-        """End lapsed leases and wake the watches if that changed a key."""
+        """Revoke expired leases and notify the watches if that deleted a key."""
         before = self.store.revision
         self.store.expire(self.clock())
         if self.store.revision != before:
             self.changed.notify_all()
 
     def interrupt_watches(self) -> None:
-        """Close the streams of all watches."""
+        """End the streams of all watches."""
         self.interrupted += 1
         self.changed.notify_all()
 
     def set_faults(self, **faults) -> None:
-        """Switch faults on or off; a store that goes down ends its watches."""
+        """Set faults by name; the fault ``down`` ends the watches too.
+
+        Raises
+        ------
+        StoreError
+            If there is no fault of that name.
+        """
         for name, value in faults.items():
             if name not in attrs.fields_dict(keyvalue.Faults):
                 raise keyvalue.StoreError(f"unknown fault {name}")
@@ -173,7 +188,13 @@
             self.interrupt_watches()
 
     def restore(self, name: str) -> None:
-        """Restore a snapshot by its name and end the watches."""
+        """Restore a snapshot by its name and end the watches.
+
+        Raises
+        ------
+        StoreError
+            If there is no snapshot of that name.
+        """
         if name not in self.store.snapshots:
             raise keyvalue.StoreError(f"unknown snapshot {name}")
         self.store.restore(self.store.snapshots[name], self.clock())
@@ -181,27 +202,27 @@
 
 
 class GatewayHandler(tornado.web.RequestHandler):
-    """Common parts of the routes of the gateway."""
+    """Base class of the handlers of the gateway's routes."""
 
     def initialize(self, server: StoreServer) -> None:
-        """Keep the server."""
+        """Store the server."""
         self.server = server
 
     def drop_connection(self) -> None:
-        """Close the connection without an answer."""
+        """Close the connection without a response."""
         self.detach().close()
 
     def make_header(self) -> dict:
-        """Return the header of an answer."""
+        """Return the header of a response, which has the store's revision."""
         return {"header": {"revision": str(self.server.store.revision)}}
 
-    def refuse(self, status: int, code: int, message: str) -> None:
-        """Answer with an error in the gateway's form."""
+    def respond_with_error(self, status: int, code: int, message: str) -> None:
+        """Respond with an HTTP status, and a gRPC status code and message in JSON."""
         self.set_status(status)
         self.finish({"error": message, "message": message, "code": code})
 
-    async def begin(self, name: str) -> bool:
-        """Count the call and apply the faults; return whether to go on."""
+    async def apply_faults(self, name: str) -> bool:
+        """Count the call and apply the faults; return False if the store is down."""
         store = self.server.store
         store.calls[name] += 1
         if store.faults.delay_seconds and not store.faults.down:
@@ -214,26 +235,26 @@
 
 
 class UnaryHandler(GatewayHandler):
-    """A call with one answer."""
+    """Handles a call with a single response."""
 
     def initialize(self, server: StoreServer, name: str, function, writes) -> None:
-        """Keep the server and the function that carries out the call."""
+        """Store the server and the function that runs the call."""
         super().initialize(server)
         self.name, self.function, self.writes = name, function, writes
 
     async def post(self) -> None:
-        """Carry out the call."""
+        """Run the call and respond, unless a fault drops the response."""
         store = self.server.store
-        if not await self.begin(self.name):
+        if not await self.apply_faults(self.name):
             return
         try:
             body = json.loads(self.request.body or b"{}")
             answer = self.function(store, body, self.server.clock())
         except keyvalue.StoreError as error:
-            self.refuse(404, 5, str(error))
+            self.respond_with_error(404, 5, str(error))
             return
         except (ValueError, TypeError, KeyError, AttributeError) as error:
-            self.refuse(400, 3, f"malformed request: {error}")
+            self.respond_with_error(400, 3, f"malformed request: {error}")
             return
         self.server.changed.notify_all()
         if self.writes and store.faults.lost_answers:
@@ -244,45 +265,52 @@
 
 
 class WatchHandler(GatewayHandler):
-    """A stream of the changes of a range, one JSON object a line."""
+    """Streams the changes of a range, one JSON object per line."""
 
     async def post(self) -> None:
-        """Send changes until the caller or a fault ends the stream."""
-        if not await self.begin("watch"):
+        """Stream changes until the client or a fault ends the stream."""
+        if not await self.apply_faults("watch"):
             return
         try:
             body = json.loads(self.request.body)
-            create = _pick(body, {}, "create_request", "createRequest")
+            create = _get_first(body, {}, "create_request", "createRequest")
             start = _decode(create, "key")
             end = _decode(create, "range_end", "rangeEnd")
-            first = int(_pick(create, 0, "start_revision", "startRevision"))
+            first = int(_get_first(create, 0, "start_revision", "startRevision"))
         except (ValueError, TypeError, AttributeError) as error:
-            self.refuse(400, 3, f"malformed request: {error}")
+            self.respond_with_error(400, 3, f"malformed request: {error}")
             return
         try:
-            await self.send({"created": True})
-            await self.follow(start, end, first or self.server.store.revision + 1)
+            await self.send_message({"created": True})
+            await self.stream_changes(
+                start, end, first or self.server.store.revision + 1
+            )
         except tornado.iostream.StreamClosedError:
             return
 
-    async def send(self, body: dict) -> None:
-        """Write one message of the stream."""
+    async def send_message(self, body: dict) -> None:
+        """Write one message to the stream."""
         self.write(json.dumps({"result": self.make_header() | body}) + "\n")
         await self.flush()
 
-    async def follow(self, start: bytes, end: bytes, first: int) -> None:
-        """Send the changes from a revision on as they occur."""
+    async def stream_changes(self, start: bytes, end: bytes, first: int) -> None:
+        """Send the changes from a revision on as they occur.
+
+        Below the compacted revision the watch is canceled, as etcd does.
+        """
         store, interrupted = self.server.store, self.server.interrupted
         while interrupted == self.server.interrupted:
             try:
                 changes = store.list_changes(start, end, first)
             except keyvalue.StoreError:
                 compacted = str(store.compact_revision)
-                await self.send({"canceled": True, "compact_revision": compacted})
+                await self.send_message(
+                    {"canceled": True, "compact_revision": compacted}
+                )
                 return
             if changes:
                 first = changes[-1].revision + 1
-                await self.send({"events": list(map(_render_change, changes))})
+                await self.send_message({"events": list(map(_format_change, changes))})
             elif not self.request.connection.stream.closed():
                 await self.server.changed.wait()
             else:
@@ -290,15 +318,15 @@
         self.drop_connection()
 
     def on_connection_close(self) -> None:
-        """Wake the stream, so that it ends when its caller is gone."""
+        """Wake the stream, so that it ends once its client has disconnected."""
         self.server.changed.notify_all()
 
 
 class ControlHandler(GatewayHandler):
-    """Faults, snapshots and call counts; no part of the store's interface."""
+    """Sets faults and snapshots, for tests; not part of the etcd API."""
 
     def get(self) -> None:
-        """Answer with the call counts and the faults."""
+        """Return the call counts, the faults and the revision."""
         store = self.server.store
         self.finish(
             {
@@ -309,7 +337,7 @@
         )
 
     def post(self) -> None:
-        """Set faults, take a snapshot or restore one."""
+        """Set faults, take a snapshot, restore a snapshot, in this order."""
         body = json.loads(self.request.body)
         try:
             self.server.set_faults(**body.get("faults", {}))
@@ -319,7 +347,7 @@
             if "restore" in body:
                 self.server.restore(body["restore"])
         except keyvalue.StoreError as error:
-            self.refuse(400, 3, str(error))
+            self.respond_with_error(400, 3, str(error))
             return
         self.get()
 
