--- a/hyssopshelf/standins/tests/test_keyvalue.py
+++ b/hyssopshelf/standins/tests/test_keyvalue.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in store's state machine."""
+"""Tests of the state machine of the stand-in key-value store."""
 
 import hypothesis
 import pytest
@@ -13,7 +13,7 @@
 
 @hypothesis.settings(derandomize=True, max_examples=60, stateful_step_count=30)
 class StoreMachine(stateful.RuleBasedStateMachine):
-    """Compares the store with a dictionary of (value, revision, lease)."""
+    """Compares the store with a dictionary of key to (value, revision, lease)."""
 
     def __init__(self):
         super().__init__()
@@ -26,11 +26,11 @@
     def call(self, operation):
         return keyvalue.call(self.store, operation, self.now)
 
-    def drop(self, ended):
+    def end_leases(self, ended):
         for lease in ended:
             del self.leases[lease]
         self.model = {
-            key: row for key, row in self.model.items() if row[2] not in ended
+            key: record for key, record in self.model.items() if record[2] not in ended
         }
 
     @stateful.rule(key=KEYS, value=st.binary(max_size=3), offset=st.integers(0, 2))
@@ -41,10 +41,10 @@
             key=key, value=value, revision=expected + offset, lease=lease
         )
         before = self.store.revision
-        swapped = self.call(operation).unwrap()
-        assert swapped.succeeded == (offset == 0)
-        if swapped.succeeded:
-            assert swapped.current.revision == before + 1
+        result = self.call(operation).unwrap()
+        assert result.succeeded == (offset == 0)
+        if result.succeeded:
+            assert result.current.revision == before + 1
             self.model[key] = (value, before + 1, lease)
 
     @stateful.rule(key=KEYS, value=st.binary(max_size=3))
@@ -73,25 +73,27 @@
     def revoke(self):
         lease = min(self.leases)
         assert self.call(platform.RevokeLease(lease=lease)).is_ok()
-        self.drop({lease})
+        self.end_leases({lease})
 
     @stateful.rule(seconds=st.integers(1, 3))
     def wait(self, seconds):
         self.now += seconds
         self.store.expire(self.now)
-        self.drop({lease for lease, end in self.leases.items() if end <= self.now})
+        self.end_leases(
+            {lease for lease, end in self.leases.items() if end <= self.now}
+        )
 
     @stateful.invariant()
     def reads_match_the_model(self):
-        """Guards against lost writes and keys that outlive their lease."""
+        """Guards against lost writes and against keys that outlive their lease."""
         listed = self.call(platform.ListPrefix(prefix="")).unwrap()
         assert {entry.key: (entry.value, entry.revision) for entry in listed} == {
-            key: row[:2] for key, row in self.model.items()
+            key: record[:2] for key, record in self.model.items()
         }
 
     @stateful.invariant()
     def watch_finds_each_change_once(self):
-        """Guards against a watch that skips or repeats a change."""
+        """Guards against a watch that skips or repeats changes."""
         after = max(self.seen, default=1)
         watch = platform.Watch(prefix="", after_revision=after, wait_seconds=0)
         for entry in self.call(watch).unwrap().entries:
@@ -106,18 +108,18 @@
 
 
 def test_restored_store_reuses_revisions_but_no_lease():
-    """Guards against a lease of before the restore that ends a later one."""
+    """Guards against revoking a newer lease with an id from before the restore."""
     store = keyvalue.KeyValueStore()
-    old = store.take_snapshot()
+    snapshot = store.take_snapshot()
     lease = store.grant_lease(10, 0.0)
     store.put(b"k", b"new", lease)
-    store.restore(old, 1.0)
+    store.restore(snapshot, 1.0)
     assert (store.read(b"k"), store.revision) == ([], 1)
     assert store.grant_lease(10, 1.0) > lease
 
 
-def test_oversized_value_is_refused():
-    """Guards against documents that the platform's store would not take."""
+def test_oversized_value_is_rejected():
+    """Guards against documents that the stand-in takes and the platform rejects."""
     store = keyvalue.KeyValueStore()
     with pytest.raises(keyvalue.StoreError):
         store.put(b"k", bytes(keyvalue.MAXIMUM_VALUE_BYTES + 1))
