--- a/hyssopshelf/client/__init__.py
+++ b/hyssopshelf/client/__init__.py
@@ -1,4 +1,4 @@
-"""The callers' library."""
+"""Client library for applications that use the database through the proxies."""
 
 from hyssopshelf.client import session
 
--- a/hyssopshelf/client/session.py
+++ b/hyssopshelf/client/session.py
@@ -1,4 +1,4 @@
-"""A caller's session: carries the token and roams between proxies."""
+"""Session of a client that stays consistent when it changes the proxy."""
 
 import asyncio
 import itertools
@@ -12,43 +12,45 @@
 from hyssopshelf import exceptions, messages
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-"""Longest time to connect to a proxy, in seconds."""
+"""Timeout of a connection to a proxy, in seconds."""
 
 ANSWER_MARGIN_SECONDS = 0.5
-"""Time beyond the deadline for which the proxy's own answer is awaited."""
+"""Time to wait after the deadline for the answer of the proxy, in seconds."""
 
-FIRST_PAUSE_SECONDS = 0.02
-"""Pause before the first retry; it doubles with each further one."""
+INITIAL_BACKOFF_SECONDS = 0.02
+"""Delay before the first retry, in seconds; it doubles with each further retry."""
 
-MAXIMUM_PAUSE_SECONDS = 0.5
-"""Longest pause between two tries, in seconds."""
+MAXIMUM_BACKOFF_SECONDS = 0.5
+"""Longest delay between two attempts, in seconds."""
 
-RETRIES_PER_REQUEST = 0.1
-"""Retries that each request earns for the session's budget."""
+RETRY_BUDGET_PER_REQUEST = 0.1
+"""Retries that each request adds to the session's retry budget."""
 
-MAXIMUM_RETRIES = 10.0
-"""Largest number of retries that the budget holds."""
+RETRY_BUDGET = 10.0
+"""Size of a session's retry budget, in retries; it is full at the start."""
 
-_IDS = itertools.count(1)
+_REQUEST_NUMBERS = itertools.count(1)
 
 
 class Session:
-    """A session of one partner with a database.
+    """A session of one customer (partner) with a database.
 
-    A session reads its own writes on any proxy, because it gives each proxy the
-    token of what it has written and seen. It retries only what is known not to
-    have run, or what is idempotent: reads, and writes with an idempotency key.
+    A session reads its own writes through any proxy, because each request carries
+    a token of what the session has written and read. Requests outside transactions
+    are retried if they are known not to have run, or if they are idempotent: reads,
+    and writes with an idempotency key. A retry budget bounds the added load.
 
     Parameters
     ----------
     proxies : tuple of str
         ``IP:port`` of the proxies.
     pool, database, partner : str
-        What the session works on and on whose behalf.
+        Pool and database that the session uses, and the customer it acts for.
     timeout_seconds : float
-        Time that a request has when it gives no other.
+        Default timeout of a request.
     seed : int or None
-        Seed of the choice of proxies; None takes a random one.
+        Seed of the choice of proxies and of the retry jitter; None for a random
+        one.
     """
 
     def __init__(
@@ -68,8 +70,8 @@
         self.timeout_seconds = timeout_seconds
         self.token = ""
         self._random = random.Random(seed)
-        self._retries = MAXIMUM_RETRIES
-        self._link: _Link | None = None
+        self._retry_budget = RETRY_BUDGET
+        self._connection: _ProxyConnection | None = None
 
     async def get(
         self,
@@ -80,7 +82,13 @@
         transaction: str = "",
         timeout_seconds: float | None = None,
     ) -> messages.Answer:
-        """Read a key."""
+        """Read a key.
+
+        Raises
+        ------
+        AnswerError
+            With the kind of the error.
+        """
         return await self._request(
             messages.Operation.GET,
             timeout_seconds,
@@ -91,29 +99,29 @@
         )
 
     async def put(self, key: str, value: str, *, kind: str, **options):
-        """Set a key; options as in ``append``."""
+        """Set a key to a value; the parameters are those of ``append``."""
         return await self._write(messages.Operation.PUT, key, value, kind, **options)
 
     async def append(self, key: str, value: str, *, kind: str, **options):
-        """Add a value to a key.
+        """Append a value to the list of a key.
 
         Parameters
         ----------
         key, value, kind : str
-            What to write and the kind of work.
+            Key, value and the kind of work, which determines the rank.
         transaction : str
-            Id of an open transaction.
+            Id of an open transaction, empty if none.
         idempotency_key : str
-            With it the write may be repeated: a repeat returns the first
-            outcome.
+            Makes the write repeatable: a repetition returns the outcome of the
+            first execution.
         timeout_seconds : float
-            Time that the request has.
+            Timeout of the request; None takes that of the session.
 
         Raises
         ------
         AnswerError
-            With the kind of the error. Only kinds whose disposition says so
-            mean that the write did not run.
+            With the kind of the error. Its disposition tells whether the write
+            did not run or its outcome is unknown.
         """
         return await self._write(messages.Operation.APPEND, key, value, kind, **options)
 
@@ -132,7 +140,14 @@
         idempotency_key: str = "",
         timeout_seconds: float | None = None,
     ) -> messages.Answer:
-        """Commit a transaction."""
+        """Commit a transaction.
+
+        Raises
+        ------
+        AnswerError
+            With the kind of the error. Its disposition tells whether the commit
+            did not run or its outcome is unknown.
+        """
         return await self._request(
             messages.Operation.COMMIT,
             timeout_seconds,
@@ -153,10 +168,10 @@
         )
 
     async def roam(self, proxy: str | None = None) -> None:
-        """Change to another proxy, or to the given one."""
+        """Disconnect and connect to the given proxy, or at the next request to any."""
         await self._disconnect()
         if proxy is not None:
-            self._link = await _connect(proxy)
+            self._connection = await _connect(proxy)
 
     async def close(self) -> None:
         """Close the connection to the proxy."""
@@ -187,21 +202,23 @@
         self, operation: messages.Operation, timeout_seconds: float | None, **fields
     ) -> messages.Answer:
         deadline = time.monotonic() + (timeout_seconds or self.timeout_seconds)
-        self._retries = min(MAXIMUM_RETRIES, self._retries + RETRIES_PER_REQUEST)
-        pause = FIRST_PAUSE_SECONDS
+        self._retry_budget = min(
+            RETRY_BUDGET, self._retry_budget + RETRY_BUDGET_PER_REQUEST
+        )
+        backoff = INITIAL_BACKOFF_SECONDS
         while True:
             try:
-                return await self._try(operation, deadline, fields)
+                return await self._attempt(operation, deadline, fields)
             except exceptions.AnswerError as error:
-                delay = max(error.retry_after_seconds, pause)
+                delay = max(error.retry_after_seconds, backoff)
                 if not self._may_retry(operation, fields, error, deadline, delay):
                     raise
-            self._retries -= 1
+            self._retry_budget -= 1
             await asyncio.sleep(delay * self._random.uniform(0.5, 1.0))
-            pause = min(2 * pause, MAXIMUM_PAUSE_SECONDS)
+            backoff = min(2 * backoff, MAXIMUM_BACKOFF_SECONDS)
 
     def _may_retry(self, operation, fields, error, deadline, delay) -> bool:
-        if self._retries < 1 or time.monotonic() + delay >= deadline:
+        if self._retry_budget < 1 or time.monotonic() + delay >= deadline:
             return False
         if fields.get("transaction"):
             return False
@@ -212,10 +229,12 @@
         )
         return bool(idempotent) and error.kind is exceptions.ErrorKind.OUTCOME_UNKNOWN
 
-    async def _try(self, operation, deadline: float, fields: dict) -> messages.Answer:
-        link = await self._connect_any()
+    async def _attempt(
+        self, operation, deadline: float, fields: dict
+    ) -> messages.Answer:
+        connection = await self._get_connection()
         statement = messages.Statement(
-            id=f"r{next(_IDS)}",
+            id=f"r{next(_REQUEST_NUMBERS)}",
             pool=self.pool,
             database=self.database,
             partner=self.partner,
@@ -225,12 +244,13 @@
             **fields,
         )
         try:
-            limit = deadline - time.monotonic() + ANSWER_MARGIN_SECONDS
-            answer = await asyncio.wait_for(link.exchange(statement), limit)
+            timeout = deadline - time.monotonic() + ANSWER_MARGIN_SECONDS
+            answer = await asyncio.wait_for(connection.exchange(statement), timeout)
         except (TimeoutError, OSError) as error:
             await self._disconnect()
             raise exceptions.AnswerError(
-                exceptions.ErrorKind.OUTCOME_UNKNOWN, f"no answer: {error!r}"
+                exceptions.ErrorKind.OUTCOME_UNKNOWN,
+                f"no answer from the proxy: {error!r}",
             ) from error
         if answer.error is not None:
             if answer.error is exceptions.ErrorKind.UNAVAILABLE:
@@ -241,34 +261,34 @@
         self.token = answer.token
         return answer
 
-    async def _connect_any(self) -> "_Link":
-        if self._link is not None and self._link.is_open:
-            return self._link
-        order = list(self.proxies)
-        self._random.shuffle(order)
-        for proxy in order:
+    async def _get_connection(self) -> "_ProxyConnection":
+        if self._connection is not None and self._connection.is_open:
+            return self._connection
+        candidates = list(self.proxies)
+        self._random.shuffle(candidates)
+        for proxy in candidates:
             try:
-                self._link = await _connect(proxy)
+                self._connection = await _connect(proxy)
             except _CONNECT_ERRORS:
                 continue
-            return self._link
+            return self._connection
         raise exceptions.AnswerError(
-            exceptions.ErrorKind.UNAVAILABLE, "no proxy can be reached"
+            exceptions.ErrorKind.UNAVAILABLE, "no proxy is reachable"
         )
 
     async def _disconnect(self) -> None:
-        if self._link is not None:
-            self._link.close()
-            self._link = None
+        if self._connection is not None:
+            self._connection.close()
+            self._connection = None
 
 
-class _Link:
-    """A websocket to one proxy with answers matched by id."""
+class _ProxyConnection:
+    """A websocket to one proxy; answers are matched to requests by id."""
 
     def __init__(self, *, proxy: str, socket) -> None:
         self.proxy = proxy
         self._socket = socket
-        self._waiting: dict[str, asyncio.Future] = {}
+        self._pending_answers: dict[str, asyncio.Future] = {}
         self._reader = asyncio.ensure_future(self._read())
 
     @property
@@ -277,7 +297,7 @@
 
     async def exchange(self, statement: messages.Statement) -> messages.Answer:
         future = asyncio.get_running_loop().create_future()
-        self._waiting[statement.id] = future
+        self._pending_answers[statement.id] = future
         try:
             data = messages.to_json(statement).decode()
             try:
@@ -286,7 +306,7 @@
                 raise ConnectionError("connection to the proxy closed") from error
             return await future
         finally:
-            self._waiting.pop(statement.id, None)
+            self._pending_answers.pop(statement.id, None)
 
     def close(self) -> None:
         socket, self._socket = self._socket, None
@@ -297,21 +317,21 @@
         socket = self._socket
         while (data := await socket.read_message()) is not None:
             answer = messages.from_json(data, messages.Answer)
-            future = self._waiting.get(answer.id)
+            future = self._pending_answers.get(answer.id)
             if future is not None and not future.done():
                 future.set_result(answer)
         self.close()
-        for future in self._waiting.values():
+        for future in self._pending_answers.values():
             if not future.done():
                 future.set_exception(ConnectionError("connection to the proxy closed"))
 
 
-async def _connect(proxy: str) -> _Link:
+async def _connect(proxy: str) -> _ProxyConnection:
     request = tornado.httpclient.HTTPRequest(
         f"ws://{proxy}/v1/session", connect_timeout=CONNECT_TIMEOUT_SECONDS
     )
     socket = await tornado.websocket.websocket_connect(request)
-    return _Link(proxy=proxy, socket=socket)
+    return _ProxyConnection(proxy=proxy, socket=socket)
 
 
 _CONNECT_ERRORS = (
