--- a/hyssopshelf/command/client.py
+++ b/hyssopshelf/command/client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the operators' command."""
+"""HTTP client of the operators' command-line tool."""
 
 import asyncio
 import json
@@ -9,31 +9,35 @@
 
 from hyssopshelf import exceptions
 
-MARGIN_SECONDS = 2.0
-"""Time beyond that of the request after which a server is given up."""
+TIMEOUT_MARGIN_SECONDS = 2.0
+"""Time added to that of the request for the client's timeout, in seconds.
+
+It is the connect timeout too.
+"""
 
 MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
+"""Largest response body that is accepted, in bytes."""
 
 
 class NoServerError(exceptions.HyssopshelfError):
-    """No server answered.
+    """Raised when no server answered.
 
     Parameters
     ----------
     message : str
-        Explanation for the operator.
-    sent : bool
-        A server may have received the request.
+        Text for the operator.
+    maybe_received : bool
+        Whether a server may have received the request.
     """
 
-    def __init__(self, message: str, sent: bool) -> None:
+    def __init__(self, message: str, maybe_received: bool) -> None:
         super().__init__(message)
-        self.sent = sent
+        self.maybe_received = maybe_received
 
 
 @attrs.frozen(kw_only=True)
 class Response:
-    """Status and JSON body of an answer."""
+    """Status and JSON body of an HTTP response."""
 
     status: int
     body: dict
@@ -41,47 +45,50 @@
 
 @attrs.frozen(kw_only=True)
 class Client:
-    """Calls one of several servers.
+    """Sends each request to the first of several servers that answers.
 
     Attributes
     ----------
     servers : tuple of str
-        Base addresses, tried in order. The next one is tried only if no
-        answer came; changes carry a change id, so that this is safe.
-    seconds : float
-        Time given to a request.
+        Base URLs, tried in order. The next one is tried only without an answer
+        from the previous one. A server may have run the request then; changes
+        carry a change id, so that a repetition takes effect once.
+    timeout_seconds : float
+        Time that the server has for a request.
     report : callable
-        Receives a line for each server that could not be reached.
+        Called with a message for each server that did not answer.
     """
 
     servers: tuple[str, ...]
-    seconds: float
+    timeout_seconds: float
     report: object = print
 
     def call(
         self, method: str, path: str, query: dict | None = None, body: object = None
     ) -> Response:
-        """Send a request and return the answer of the first server reached.
+        """Send a request and return the response of the first server that answers.
 
         Raises
         ------
         NoServerError
             If no server answered.
         """
-        fields = {"seconds": f"{self.seconds:g}"} | (query or {})
-        target = f"{path}?{urllib.parse.urlencode(fields)}"
+        parameters = {"seconds": f"{self.timeout_seconds:g}"} | (query or {})
+        target = f"{path}?{urllib.parse.urlencode(parameters)}"
         return asyncio.run(self._try_servers(method, target, body))
 
     async def _try_servers(self, method: str, target: str, body: object) -> Response:
-        sent = False
+        maybe_received = False
         for server in self.servers:
             try:
                 return await self._fetch(method, server.rstrip("/") + target, body)
             except (OSError, tornado.httpclient.HTTPError, ValueError) as error:
-                sent = sent or not isinstance(error, ConnectionRefusedError)
+                maybe_received = maybe_received or not isinstance(
+                    error, ConnectionRefusedError
+                )
                 self.report(f"{server}: no answer: {error}")
-        names = ", ".join(self.servers)
-        raise NoServerError(f"no answer from {names}", sent)
+        servers = ", ".join(self.servers)
+        raise NoServerError(f"no answer from {servers}", maybe_received)
 
     async def _fetch(self, method: str, url: str, body: object) -> Response:
         request = tornado.httpclient.HTTPRequest(
@@ -90,8 +97,8 @@
             body=None if body is None else json.dumps(body),
             headers={"Content-Type": "application/json"},
             allow_nonstandard_methods=True,
-            connect_timeout=MARGIN_SECONDS,
-            request_timeout=self.seconds + MARGIN_SECONDS,
+            connect_timeout=TIMEOUT_MARGIN_SECONDS,
+            request_timeout=self.timeout_seconds + TIMEOUT_MARGIN_SECONDS,
         )
         client = tornado.httpclient.AsyncHTTPClient(
             force_instance=True, max_body_size=MAXIMUM_BODY_BYTES
@@ -100,7 +107,7 @@
             response = await client.fetch(request, raise_error=False)
         finally:
             client.close()
-        # A status of 599 means that the connection failed or timed out.
+        # Tornado reports a failed or timed-out connection as status 599.
         if response.error is not None and response.code == 599:
             raise response.error
         return Response(status=response.code, body=json.loads(response.body))
--- a/hyssopshelf/command/main.py
+++ b/hyssopshelf/command/main.py
@@ -1,8 +1,8 @@
-"""The operators' command: ``hyssopshelf``.
+"""Command-line tool of the operators: ``hyssopshelf``.
 
-Exit status: 0 done, 1 other error, 2 wrong arguments or a faulty declaration,
-3 conflict, 4 outcome unknown, 5 no server reached or server not ready, 6 not
-found, 7 differences found (diff) or version not in force everywhere (status).
+Exit status: 0 success, 1 other error, 2 invalid arguments or declaration,
+3 conflict, 4 outcome unknown, 5 no server reachable or server not ready, 6 not
+found, 7 differences found (diff) or version not in force on all nodes (status).
 """
 
 import argparse
@@ -19,15 +19,14 @@
 from hyssopshelf.configuration import declarations
 
 WATCH_SECONDS = 30.0
-"""Time that one call of watch waits at the server."""
+"""Long-poll time of one request of ``watch``, in seconds."""
 
+OUTPUT_FORMATS = ("table", "json")
+"""Output formats."""
 
-FORMS = ("table", "json")
-"""Forms of the output."""
 
-
-class Exit(enum.IntEnum):
-    """Exit status of the command."""
+class ExitStatus(enum.IntEnum):
+    """Exit status of the process."""
 
     DONE = 0
     ERROR = 1
@@ -39,20 +38,20 @@
     DIFFERENT = 7
 
 
-_EXITS = {
-    exceptions.ErrorKind.BAD_REQUEST: Exit.USAGE,
-    exceptions.ErrorKind.CONFLICT: Exit.CONFLICT,
-    exceptions.ErrorKind.OUTCOME_UNKNOWN: Exit.UNKNOWN,
-    exceptions.ErrorKind.UNAVAILABLE: Exit.UNAVAILABLE,
-    exceptions.ErrorKind.REFUSED: Exit.UNAVAILABLE,
-    exceptions.ErrorKind.NOT_FOUND: Exit.NOT_FOUND,
+_STATUS_BY_ERROR_KIND = {
+    exceptions.ErrorKind.BAD_REQUEST: ExitStatus.USAGE,
+    exceptions.ErrorKind.CONFLICT: ExitStatus.CONFLICT,
+    exceptions.ErrorKind.OUTCOME_UNKNOWN: ExitStatus.UNKNOWN,
+    exceptions.ErrorKind.UNAVAILABLE: ExitStatus.UNAVAILABLE,
+    exceptions.ErrorKind.REFUSED: ExitStatus.UNAVAILABLE,
+    exceptions.ErrorKind.NOT_FOUND: ExitStatus.NOT_FOUND,
 }
 
-_HTTP_ERROR = 400
+_MINIMUM_ERROR_STATUS = 400
 
 
 def make_parser() -> configargparse.ArgumentParser:
-    """Return the parser of the command line and the environment."""
+    """Return the parser of the command line and of the environment variables."""
     parser = configargparse.ArgumentParser(
         prog="hyssopshelf", description="Declare and inspect resources."
     )
@@ -66,15 +65,17 @@
     parser.add_argument(
         "--seconds", type=float, default=5.0, help="time given to a request"
     )
-    parser.add_argument("-o", "--output", choices=FORMS, default="table")
+    parser.add_argument("-o", "--output", choices=OUTPUT_FORMATS, default="table")
     commands = parser.add_subparsers(dest="command", required=True)
 
     def add(name: str, run: Callable, text: str) -> configargparse.ArgumentParser:
         command = commands.add_parser(name, help=text, description=text)
         command.set_defaults(run=run)
-        # Accepted after the command's name too, without a default that would
-        # replace the value given before it.
-        command.add_argument("-o", "--output", choices=FORMS, default=argparse.SUPPRESS)
+        # The option may also follow the command's name. It has no default there,
+        # since a default would overwrite a value given before the name.
+        command.add_argument(
+            "-o", "--output", choices=OUTPUT_FORMATS, default=argparse.SUPPRESS
+        )
         return command
 
     def add_change_id(command: configargparse.ArgumentParser) -> None:
@@ -123,14 +124,20 @@
     return parser
 
 
-def quote(text: str) -> str:
-    """Return a text as a part of a path."""
+def quote_segment(text: str) -> str:
+    """Return a text percent-encoded as one segment of a URL path."""
     return urllib.parse.quote(text, safe="")
 
 
 def read_files(paths: Sequence[str]) -> list[dict]:
-    """Return the resources of declaration files; ``-`` is standard input."""
-    found = []
+    """Return the resources of declaration files; ``-`` is standard input.
+
+    Raises
+    ------
+    ValidationError
+        If a file cannot be read or is invalid; the field starts with the path.
+    """
+    declared = []
     for path in paths:
         try:
             if path == "-":
@@ -141,37 +148,39 @@
         except (OSError, UnicodeDecodeError) as error:
             raise exceptions.ValidationError(path, str(error)) from error
         try:
-            found.extend(declarations.parse_text(text))
+            declared.extend(declarations.parse_text(text))
         except exceptions.ValidationError as error:
             raise exceptions.ValidationError(
                 f"{path}: {error.field}", error.rule
             ) from error
-    return [declarations.describe_resource(item) for item in found]
+    return [declarations.describe_resource(item) for item in declared]
 
 
-def finish(arguments, response: client.Response, form: Callable[[dict], str]) -> int:
-    """Print an answer and return the exit status."""
+def print_response(
+    arguments, response: client.Response, format_body: Callable[[dict], str]
+) -> int:
+    """Print a response and return the exit status."""
     body = response.body
-    failed = response.status >= _HTTP_ERROR
+    failed = response.status >= _MINIMUM_ERROR_STATUS
     if arguments.output == "json":
         print(tables.format_json(body))
     elif not failed or "results" in body:
-        print(form(body))
+        print(format_body(body))
     if not failed:
-        return Exit.DONE
+        return ExitStatus.DONE
     errors = [item for item in body.get("results", [body]) if "error" in item]
     for item in errors:
-        change = f" (change id {item['changeId']})" if "changeId" in item else ""
-        report(f"{item['error']}: {item['message']}{change}")
+        suffix = f" (change id {item['changeId']})" if "changeId" in item else ""
+        print_error(f"{item['error']}: {item['message']}{suffix}")
     try:
         kind = exceptions.ErrorKind(errors[0]["error"]) if errors else None
     except ValueError:
         kind = None
-    return _EXITS.get(kind, Exit.ERROR)
+    return _STATUS_BY_ERROR_KIND.get(kind, ExitStatus.ERROR)
 
 
-def report(text: str) -> None:
-    """Print a line for the operator on standard error."""
+def print_error(text: str) -> None:
+    """Print a message to standard error."""
     print(f"hyssopshelf: {text}", file=sys.stderr)
 
 
@@ -180,144 +189,151 @@
     return arguments.change_id or uuid.uuid4().hex
 
 
-def run_apply(arguments, server: client.Client) -> int:
+def run_apply(arguments, api_client: client.Client) -> int:
     """Create or replace resources."""
     body = {
         "changeId": make_change_id(arguments),
         "resources": read_files(arguments.file),
         "baseVersion": arguments.base_version,
     }
-    return send_change(arguments, server, "POST", "/v1/apply", {}, body)
+    return send_change(arguments, api_client, "POST", "/v1/apply", {}, body)
 
 
-def send_change(arguments, server, method, path, query: dict, body=None) -> int:
+def send_change(arguments, api_client, method, path, query: dict, body=None) -> int:
     """Send a change and return the exit status.
 
-    A change that a server may have received and not answered has an unknown
-    outcome; a repeat under its change id is safe.
+    The outcome is unknown if a server may have received the change and no answer
+    came. Repeating the change with the same change id is safe.
     """
     try:
-        response = server.call(method, path, query, body)
+        response = api_client.call(method, path, query, body)
     except client.NoServerError as error:
-        if not error.sent:
+        if not error.maybe_received:
             raise
         change_id = body["changeId"] if body else query["changeId"]
-        report(f"outcome_unknown: {error}; repeat with --change-id {change_id}")
-        return Exit.UNKNOWN
-    return finish(arguments, response, tables.format_results)
+        print_error(f"outcome_unknown: {error}; repeat with --change-id {change_id}")
+        return ExitStatus.UNKNOWN
+    return print_response(arguments, response, tables.format_results)
 
 
-def run_diff(arguments, server: client.Client) -> int:
+def run_diff(arguments, api_client: client.Client) -> int:
     """Compare declared resources with accepted ones."""
     body = {"resources": read_files(arguments.file)}
-    response = server.call("POST", "/v1/diff", body=body)
-    code = finish(arguments, response, tables.format_differences)
+    response = api_client.call("POST", "/v1/diff", body=body)
+    code = print_response(arguments, response, tables.format_differences)
     results = response.body.get("results", ())
     differ = any(item.get("differences") for item in results)
-    return Exit.DIFFERENT if code == Exit.DONE and differ else code
+    return ExitStatus.DIFFERENT if code == ExitStatus.DONE and differ else code
 
 
-def run_get(arguments, server: client.Client) -> int:
-    """Show resources."""
+def run_get(arguments, api_client: client.Client) -> int:
+    """Show the pools, the resources of a pool, or one resource."""
     path = "/v1/resources"
     if arguments.pool:
-        path += f"/{quote(arguments.pool)}"
+        path += f"/{quote_segment(arguments.pool)}"
     query = {}
     if arguments.name:
-        path += f"/{quote(arguments.kind)}/{quote(arguments.name)}"
+        path += f"/{quote_segment(arguments.kind)}/{quote_segment(arguments.name)}"
     elif arguments.kind:
         query["kind"] = arguments.kind
-    response = server.call("GET", path, query)
-    return finish(arguments, response, tables.format_resources)
+    response = api_client.call("GET", path, query)
+    return print_response(arguments, response, tables.format_resources)
+
 
+def run_delete(arguments, api_client: client.Client) -> int:
+    """Delete a resource or a whole pool.
 
-def run_delete(arguments, server: client.Client) -> int:
-    """Delete a resource or a whole pool, in the version that is current."""
+    Without a given version it deletes the current one, which it reads first.
+    """
     if arguments.all == bool(arguments.name):
         raise exceptions.ValidationError("delete", "needs a kind and a name, or --all")
-    path = f"/v1/resources/{quote(arguments.pool)}"
+    path = f"/v1/resources/{quote_segment(arguments.pool)}"
     if not arguments.all:
-        path += f"/{quote(arguments.kind)}/{quote(arguments.name)}"
+        path += f"/{quote_segment(arguments.kind)}/{quote_segment(arguments.name)}"
     version = arguments.resource_version
     if not version:
-        response = server.call("GET", path)
-        if response.status >= _HTTP_ERROR:
-            return finish(arguments, response, tables.format_plain)
+        response = api_client.call("GET", path)
+        if response.status >= _MINIMUM_ERROR_STATUS:
+            return print_response(arguments, response, tables.format_yaml)
         body = response.body
         version = (
             body["version"] if arguments.all else body["metadata"]["resourceVersion"]
         )
     field = "baseVersion" if arguments.all else "resourceVersion"
     query = {"changeId": make_change_id(arguments), field: str(version)}
-    return send_change(arguments, server, "DELETE", path, query)
+    return send_change(arguments, api_client, "DELETE", path, query)
 
 
-def run_watch(arguments, server: client.Client) -> int:
-    """Print each version that comes into force at a server."""
-    waiting = client.Client(
-        servers=server.servers, seconds=WATCH_SECONDS, report=server.report
+def run_watch(arguments, api_client: client.Client) -> int:
+    """Print each version that comes into force on the node that answers."""
+    watch_client = client.Client(
+        servers=api_client.servers,
+        timeout_seconds=WATCH_SECONDS,
+        report=api_client.report,
     )
     after = arguments.after
-    seen = 0
+    printed = 0
     while True:
         query = {"pool": arguments.pool, "afterVersion": str(after)}
-        response = waiting.call("GET", "/v1/watch", query)
-        if response.status >= _HTTP_ERROR:
-            return finish(arguments, response, tables.format_watch)
+        response = watch_client.call("GET", "/v1/watch", query)
+        if response.status >= _MINIMUM_ERROR_STATUS:
+            return print_response(arguments, response, tables.format_watch)
         if not response.body["changed"]:
             continue
         after = response.body["version"]
-        finish(arguments, response, tables.format_watch)
+        print_response(arguments, response, tables.format_watch)
         sys.stdout.flush()
-        seen += 1
-        if seen == arguments.count:
-            return Exit.DONE
+        printed += 1
+        if printed == arguments.count:
+            return ExitStatus.DONE
 
 
-def run_status(arguments, server: client.Client) -> int:
+def run_status(arguments, api_client: client.Client) -> int:
     """Show on how many nodes a version is in force."""
     query = {"pool": arguments.pool, "version": str(arguments.version)}
-    response = server.call("GET", "/v1/status", query)
-    code = finish(arguments, response, tables.format_status)
-    if code == Exit.DONE and response.body["inForce"] < response.body["nodes"]:
-        return Exit.DIFFERENT
+    response = api_client.call("GET", "/v1/status", query)
+    code = print_response(arguments, response, tables.format_status)
+    if code == ExitStatus.DONE and response.body["inForce"] < response.body["nodes"]:
+        return ExitStatus.DIFFERENT
     return code
 
 
-def run_bill(arguments, server: client.Client) -> int:
+def run_bill(arguments, api_client: client.Client) -> int:
     """Show the slot time used in a pool."""
-    response = server.call("GET", "/v1/bill", {"pool": arguments.pool})
-    return finish(arguments, response, tables.format_plain)
+    response = api_client.call("GET", "/v1/bill", {"pool": arguments.pool})
+    return print_response(arguments, response, tables.format_yaml)
 
 
-def run_drain(arguments, server: client.Client) -> int:
-    """Stop one node gracefully."""
-    if len(server.servers) > 1:
+def run_drain(arguments, api_client: client.Client) -> int:
+    """Stop one node gracefully; the server list must name just this node."""
+    if len(api_client.servers) > 1:
         raise exceptions.ValidationError("--server", "must name the one node to drain")
-    response = server.call("POST", "/v1/drain", body={})
-    return finish(arguments, response, tables.format_plain)
+    response = api_client.call("POST", "/v1/drain", body={})
+    return print_response(arguments, response, tables.format_yaml)
 
 
 def run(arguments) -> int:
     """Run a parsed command and return the exit status."""
     servers = tuple(part for part in arguments.server.split(",") if part)
-    server = client.Client(servers=servers, seconds=arguments.seconds, report=report)
+    api_client = client.Client(
+        servers=servers, timeout_seconds=arguments.seconds, report=print_error
+    )
     try:
-        return arguments.run(arguments, server)
+        return arguments.run(arguments, api_client)
     except exceptions.ValidationError as error:
-        report(str(error))
-        return Exit.USAGE
+        print_error(str(error))
+        return ExitStatus.USAGE
     except client.NoServerError as error:
-        report(str(error))
-        return Exit.UNAVAILABLE
+        print_error(str(error))
+        return ExitStatus.UNAVAILABLE
 
 
 def main() -> None:
-    """Run the command of the process."""
+    """Run the command line of the process and exit with its status."""
     try:
         code = run(make_parser().parse_args())
     except KeyboardInterrupt:
-        code = Exit.DONE
+        code = ExitStatus.DONE
     sys.exit(int(code))
 
 
--- a/hyssopshelf/command/tables.py
+++ b/hyssopshelf/command/tables.py
@@ -1,4 +1,4 @@
-"""Output of the operators' command."""
+"""Output formats of the operators' command-line tool."""
 
 import json
 from collections.abc import Sequence
@@ -7,7 +7,7 @@
 
 
 def format_table(header: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
-    """Return rows as aligned columns below a header in capitals."""
+    """Return rows as aligned columns below an upper-case header."""
     cells = [[name.upper() for name in header]]
     cells += [["-" if value is None else str(value) for value in row] for row in rows]
     widths = [max(len(row[index]) for row in cells) for index in range(len(header))]
@@ -21,29 +21,34 @@
 
 
 def format_json(body: object) -> str:
-    """Return a body as JSON on one line."""
+    """Return a response body as JSON on one line."""
     return json.dumps(body, ensure_ascii=False)
 
 
 def format_results(body: dict) -> str:
-    """Return the results of an apply or a delete as a table."""
+    """Return the results of ``apply`` or ``delete`` as a table."""
     results = body.get("results", [body])
     rows = [
-        (item.get("pool"), item.get("version"), item.get("changeId"), describe(item))
+        (
+            item.get("pool"),
+            item.get("version"),
+            item.get("changeId"),
+            describe_outcome(item),
+        )
         for item in results
     ]
     return format_table(("pool", "version", "change", "result"), rows)
 
 
-def describe(item: dict) -> str:
-    """Return what happened to one pool."""
+def describe_outcome(item: dict) -> str:
+    """Return the outcome of a change of one pool."""
     if "error" in item:
         return f"{item['error']}: {item['message']}"
     return "accepted"
 
 
 def format_resources(body: dict) -> str:
-    """Return the resources of a pool, the pools, or one resource."""
+    """Return a table of pools or of the resources of one, or a resource as YAML."""
     if "pools" in body:
         return format_table(("pool", "version"), sorted(body["pools"].items()))
     if "items" in body:
@@ -60,7 +65,7 @@
 
 
 def format_differences(body: dict) -> str:
-    """Return the differences between declared and accepted resources."""
+    """Return the differences between declared and accepted resources as a table."""
     rows = [
         (result["pool"], item["resource"], item["field"], item["before"], item["after"])
         for result in body["results"]
@@ -71,7 +76,7 @@
 
 
 def format_status(body: dict) -> str:
-    """Return on how many nodes a version is in force, and where it is missing."""
+    """Return tables of the nodes with and without a version in force."""
     header = ("pool", "version", "nodes", "inForce", "missing", "silent")
     fields = ("pool", "version", "nodes", "inForce", "missingCount", "silentCount")
     lines = [format_table(header, [[body[field] for field in fields]])]
@@ -83,10 +88,10 @@
 
 
 def format_watch(body: dict) -> str:
-    """Return one line for a version that came into force."""
+    """Return a line with the pool, version and change ids of a new version."""
     return f"{body['pool']} {body['version']} {' '.join(body.get('changeIds', ()))}"
 
 
-def format_plain(body: dict) -> str:
-    """Return any body as YAML."""
+def format_yaml(body: dict) -> str:
+    """Return a response body as YAML."""
     return yaml.safe_dump(body, sort_keys=False).rstrip()
