--- a/hyssopshelf/gateway/gates.py
+++ b/hyssopshelf/gateway/gates.py
@@ -201,7 +201,7 @@
         now = clocks.read_clock()
         while True:
             fresh = self._count_room(now) > 0
-            item = self.queue.take(self.view, now, fresh=fresh)
+            item = self.queue.take(self.view, now, include_new=fresh)
             if item is None:
                 return
             waiter = self._waiters.get(item.id)
--- a/hyssopshelf/scheduling/estimates.py
+++ b/hyssopshelf/scheduling/estimates.py
@@ -5,7 +5,7 @@
 SMOOTHING = 0.1
 """Weight of a new sample in the moving averages."""
 
-QUICK_SMOOTHING = 0.02
+MINIMUM_SMOOTHING = 0.02
 """Weight of a sample above the estimate of quick work; that estimate follows
 shorter samples at once, so it stays near the low end of the slot times."""
 
@@ -32,7 +32,7 @@
     """
 
     mean_seconds: float = 0.0
-    quick_seconds: float = 0.0
+    minimum_seconds: float = 0.0
     interval_seconds: float = 0.0
     _finished_at: float = attrs.field(default=float("-inf"), init=False)
     _started_at: float = attrs.field(default=float("-inf"), init=False)
@@ -40,12 +40,12 @@
     def record_finish(self, seconds: float, now: float) -> None:
         """Add the slot time of finished work."""
         if self._finished_at == float("-inf"):
-            self.mean_seconds = self.quick_seconds = seconds
+            self.mean_seconds = self.minimum_seconds = seconds
         else:
             self.mean_seconds += SMOOTHING * (seconds - self.mean_seconds)
-            quick = self.quick(now)
-            excess = max(0.0, seconds - quick)
-            self.quick_seconds = min(seconds, quick) + QUICK_SMOOTHING * excess
+            minimum = self.estimate_minimum(now)
+            excess = max(0.0, seconds - minimum)
+            self.minimum_seconds = min(seconds, minimum) + MINIMUM_SMOOTHING * excess
         self._finished_at = now
 
     def record_start(self, now: float) -> tuple[float, float]:
@@ -66,14 +66,14 @@
             self.interval_seconds = self.mean_seconds / slots
         self._started_at = now
 
-    def quick(self, now: float) -> float:
+    def estimate_minimum(self, now: float) -> float:
         """Return the slot time that work needs at least, in seconds."""
-        if self.quick_seconds == 0.0:
+        if self.minimum_seconds == 0.0:
             return 0.0
         age = max(0.0, now - self._finished_at)
-        return self.quick_seconds * 0.5 ** (age / HALF_LIFE_SECONDS)
+        return self.minimum_seconds * 0.5 ** (age / HALF_LIFE_SECONDS)
 
-    def wait(self, ahead: int, guaranteed_slots: float, now: float) -> float:
+    def estimate_wait(self, ahead: int, guaranteed_slots: float, now: float) -> float:
         """Return the expected wait behind ``ahead`` work items, in seconds.
 
         ``guaranteed_slots`` is the service that the queue gets in any flood;
--- a/hyssopshelf/scheduling/queues.py
+++ b/hyssopshelf/scheduling/queues.py
@@ -19,24 +19,24 @@
 
 
 @attrs.define(kw_only=True)
-class Leaf:
+class Flow:
     """Waiting work of one partner and rank, oldest first."""
 
-    started: collections.OrderedDict[str, work.Work] = attrs.field(
+    in_transaction: collections.OrderedDict[str, work.Work] = attrs.field(
         factory=collections.OrderedDict
     )
-    fresh: collections.OrderedDict[str, work.Work] = attrs.field(
+    new: collections.OrderedDict[str, work.Work] = attrs.field(
         factory=collections.OrderedDict
     )
     estimate: estimates.ServiceEstimate = attrs.field(factory=estimates.ServiceEstimate)
 
     def __len__(self) -> int:
         """Return the number of waiting work items."""
-        return len(self.started) + len(self.fresh)
+        return len(self.in_transaction) + len(self.new)
 
-    def line_of(self, item: work.Work) -> collections.OrderedDict[str, work.Work]:
+    def queue_of(self, item: work.Work) -> collections.OrderedDict[str, work.Work]:
         """Return the line of open transactions or that of new work."""
-        return self.started if item.in_transaction else self.fresh
+        return self.in_transaction if item.in_transaction else self.new
 
 
 @attrs.define(kw_only=True)
@@ -80,7 +80,7 @@
     endpoint: str
     pool: str
     corrections: dict[str, float] = attrs.field(factory=dict)
-    _leaves: dict[tuple[str, str], Leaf] = attrs.field(factory=dict, init=False)
+    _flows: dict[tuple[str, str], Flow] = attrs.field(factory=dict, init=False)
     _waiting: dict[str, work.Work] = attrs.field(factory=dict, init=False)
     _running: dict[str, Running] = attrs.field(factory=dict, init=False)
     _clocks: service.ServiceClocks = attrs.field(
@@ -118,12 +118,12 @@
         self._use_view(view)
         if item.rank not in view.ranks or item.partner not in self._partners:
             return _refuse(UNDECLARED, LONGEST_RETRY_SECONDS)
-        leaf = self._leaves.setdefault((item.partner, item.rank), Leaf())
+        flow = self._flows.setdefault((item.partner, item.rank), Flow())
         if item.in_transaction:
             connections = max(view.connections, held)
-            return self._admit_in_transaction(item, leaf, connections, now)
-        wait = self._expected_wait(item, leaf, view, now)
-        spare = item.deadline - now - leaf.estimate.quick(now)
+            return self._admit_in_transaction(item, flow, connections, now)
+        wait = self._expected_wait(item, flow, view, now)
+        spare = item.deadline - now - flow.estimate.estimate_minimum(now)
         if spare <= 0.0 or wait > spare:
             return _refuse(DEADLINE_TOO_CLOSE, wait - spare)
         shed: tuple[work.Work, ...] = ()
@@ -135,11 +135,11 @@
         return result.Ok(shed)
 
     def take(
-        self, view: views.PoolView, now: float, *, fresh: bool = True
+        self, view: views.PoolView, now: float, *, include_new: bool = True
     ) -> work.Work | None:
         """Start the next work if a slot is free; return None otherwise.
 
-        Without ``fresh`` only statements of open transactions are started; they
+        Without ``include_new`` only statements of open transactions are started; they
         hold a connection already.
         """
         self._use_view(view)
@@ -148,39 +148,41 @@
         for running in self._running.values():
             elapsed = now - running.item.started_at
             if elapsed > running.charge.seconds:
-                self._settle(running.charge, elapsed)
-        leaves = [key for key, leaf in self._leaves.items() if leaf.started]
-        if not leaves and fresh:
-            leaves = [key for key, leaf in self._leaves.items() if leaf.fresh]
-        if not leaves:
+                self._adjust_charge(running.charge, elapsed)
+        flows = [key for key, flow in self._flows.items() if flow.in_transaction]
+        if not flows and include_new:
+            flows = [key for key, flow in self._flows.items() if flow.new]
+        if not flows:
             return None
-        partner, rank = self._clocks.choose(leaves, view)
-        leaf = self._leaves[partner, rank]
-        item = next(iter((leaf.started or leaf.fresh).values()))
+        partner, rank = self._clocks.choose(flows, view)
+        flow = self._flows[partner, rank]
+        item = next(iter((flow.in_transaction or flow.new).values()))
         self._remove(item)
-        previous_start = leaf.estimate.record_start(now)
+        previous_start = flow.estimate.record_start(now)
         item.started_at = now
         charge = self._clocks.start(partner, rank, view)
-        self._settle(charge, item.estimated_seconds or leaf.estimate.mean_seconds)
+        self._adjust_charge(
+            charge, item.estimated_seconds or flow.estimate.mean_seconds
+        )
         self._running[item.id] = Running(
             item=item, charge=charge, previous_start=previous_start
         )
         return item
 
-    def put_back(self, item: work.Work) -> None:
+    def requeue(self, item: work.Work) -> None:
         """Return work that was taken but could not start to the queue."""
         running = self._running.pop(item.id, None)
         if running is not None:
-            self._settle(running.charge, 0.0)
+            self._adjust_charge(running.charge, 0.0)
         if item.id in self._waiting:
             return
         now = item.started_at if item.started_at is not None else item.enqueued_at
         item.started_at = None
         self._add(item, now)
-        leaf = self._leaves[item.partner, item.rank]
-        leaf.line_of(item).move_to_end(item.id, last=False)
+        flow = self._flows[item.partner, item.rank]
+        flow.queue_of(item).move_to_end(item.id, last=False)
         if running is not None:
-            leaf.estimate.undo_start(running.previous_start)
+            flow.estimate.undo_start(running.previous_start)
 
     def finish(self, work_id: str, now: float) -> float:
         """Release the slot of a work item and return its slot time in seconds."""
@@ -189,10 +191,10 @@
             return 0.0
         item = running.item
         seconds = max(0.0, now - item.started_at)
-        self._settle(running.charge, seconds)
-        leaf = self._leaves.get((item.partner, item.rank))
-        if leaf is not None:
-            leaf.estimate.record_finish(seconds, now)
+        self._adjust_charge(running.charge, seconds)
+        flow = self._flows.get((item.partner, item.rank))
+        if flow is not None:
+            flow.estimate.record_finish(seconds, now)
         return seconds
 
     def expire(self, now: float) -> list[work.Work]:
@@ -223,16 +225,19 @@
     @property
     def waiting_partners(self) -> set[str]:
         """Return the partners that have waiting work."""
-        return {partner for (partner, _), leaf in self._leaves.items() if len(leaf)}
+        return {partner for (partner, _), flow in self._flows.items() if len(flow)}
 
     def _admit_in_transaction(
-        self, item: work.Work, leaf: Leaf, connections: int, now: float
+        self, item: work.Work, flow: Flow, connections: int, now: float
     ) -> result.Result[tuple[work.Work, ...], work.Refusal]:
         # An open transaction holds a connection and runs one statement at a
         # time, so the connections bound these statements, not the queue limit.
-        if item.deadline <= now + leaf.estimate.quick(now):
+        if item.deadline <= now + flow.estimate.estimate_minimum(now):
             return _refuse(DEADLINE_TOO_CLOSE, SHORTEST_RETRY_SECONDS)
-        if sum(len(other.started) for other in self._leaves.values()) >= connections:
+        if (
+            sum(len(other.in_transaction) for other in self._flows.values())
+            >= connections
+        ):
             return _refuse(NO_CONNECTION_LEFT, LONGEST_RETRY_SECONDS)
         self._add(item, now)
         return result.Ok(())
@@ -246,15 +251,15 @@
         newest work of the partner furthest above its part of the queue goes,
         if the partner of ``item`` is within its own part.
         """
-        lines = {
-            partner: leaf.fresh
-            for (partner, rank), leaf in self._leaves.items()
+        backlogs = {
+            partner: flow.new
+            for (partner, rank), flow in self._flows.items()
             if rank == item.rank
         }
         late = tuple(
             other
-            for line in lines.values()
-            for other in line.values()
+            for backlog in backlogs.values()
+            for other in backlog.values()
             if self._is_late(other, now)
         )
         if late:
@@ -265,59 +270,57 @@
 
         def excess(partner: str) -> float:
             part = max(1.0, limit * view.capacity.get(partner, 0.0))
-            return len(lines[partner]) / part
+            return len(backlogs[partner]) / part
 
-        worst = max(sorted(lines), key=excess)
+        worst = max(sorted(backlogs), key=excess)
         if excess(worst) <= 1.0 or excess(item.partner) >= 1.0:
             return ()
-        newest = next(reversed(lines[worst].values()))
+        newest = next(reversed(backlogs[worst].values()))
         self._remove(newest)
         return (newest,)
 
     def _expected_wait(
-        self, item: work.Work, leaf: Leaf, view: views.PoolView, now: float
+        self, item: work.Work, flow: Flow, view: views.PoolView, now: float
     ) -> float:
         # Work behind fewer items than there are slots is always tried, so that
         # the estimates keep getting samples.
-        if len(leaf) < view.slots:
+        if len(flow) < view.slots:
             return 0.0
         floor = view.ranks[item.rank].floor
         guaranteed = floor * view.capacity.get(item.partner, 0.0) * view.slots
-        return leaf.estimate.wait(len(leaf), guaranteed, now)
+        return flow.estimate.estimate_wait(len(flow), guaranteed, now)
 
     def _is_late(self, item: work.Work, now: float) -> bool:
-        leaf = self._leaves[item.partner, item.rank]
-        return item.deadline <= now + leaf.estimate.quick(now)
+        flow = self._flows[item.partner, item.rank]
+        return item.deadline <= now + flow.estimate.estimate_minimum(now)
 
     def _rank_waiting(self, rank: str) -> int:
         return sum(
-            len(leaf.fresh)
-            for (_, other), leaf in self._leaves.items()
-            if other == rank
+            len(flow.new) for (_, other), flow in self._flows.items() if other == rank
         )
 
     def _add(self, item: work.Work, now: float) -> None:
         key = (item.partner, item.rank)
-        leaf = self._leaves.setdefault(key, Leaf())
-        waiting = [other for other, line in self._leaves.items() if len(line)]
+        flow = self._flows.setdefault(key, Flow())
+        waiting = [key for key, other in self._flows.items() if len(other)]
         ranks = {rank for _, rank in waiting}
         if item.rank not in ranks:
             self._clocks.resume_rank(item.rank, ranks, self._view)
         if item.partner not in {partner for partner, _ in waiting}:
             self._clocks.resume_partner(item.partner)
-        if not len(leaf):
-            leaf.estimate.resume(now, max(1, self._view.slots))
-        leaf.line_of(item)[item.id] = item
+        if not len(flow):
+            flow.estimate.resume(now, max(1, self._view.slots))
+        flow.queue_of(item)[item.id] = item
         self._waiting[item.id] = item
 
     def _remove(self, item: work.Work) -> None:
         del self._waiting[item.id]
-        del self._leaves[item.partner, item.rank].line_of(item)[item.id]
+        del self._flows[item.partner, item.rank].queue_of(item)[item.id]
 
-    def _settle(self, charge: service.Charge, seconds: float) -> None:
+    def _adjust_charge(self, charge: service.Charge, seconds: float) -> None:
         share = self._view.capacity.get(charge.partner, 0.0)
         share *= self.corrections.get(charge.partner, 1.0)
-        self._clocks.settle(charge, seconds, share, self._view)
+        self._clocks.adjust_charge(charge, seconds, share, self._view)
 
     def _use_view(self, view: views.PoolView) -> None:
         """Take over a view; a new one drops state of removed partners and ranks."""
@@ -325,12 +328,12 @@
             return
         self._view = view
         self._partners = frozenset(view.capacity) | {key[0] for key in view.kinds}
-        for key in [key for key, leaf in self._leaves.items() if not len(leaf)]:
+        for key in [key for key, flow in self._flows.items() if not len(flow)]:
             if key[0] not in self._partners or key[1] not in view.ranks:
-                del self._leaves[key]
+                del self._flows[key]
         self._clocks.forget(
-            self._partners | {partner for partner, _ in self._leaves},
-            set(view.ranks) | {rank for _, rank in self._leaves},
+            self._partners | {partner for partner, _ in self._flows},
+            set(view.ranks) | {rank for _, rank in self._flows},
         )
 
 
--- a/hyssopshelf/scheduling/service.py
+++ b/hyssopshelf/scheduling/service.py
@@ -13,7 +13,7 @@
 """Service that a rank may take ahead of its floor without giving up the claim to
 it later. It bounds the urgent burst that no floor slows down."""
 
-OWED_SECONDS = 0.25
+FLOOR_LAG_SECONDS = 0.25
 """Service that a rank with waiting work must be behind its floor before it goes
 ahead of more urgent work. At 0.05 to 0.1 s, ranks within their floors overtook
 urgent work so often that its p99 in a background flood rose by up to 0.4."""
@@ -22,7 +22,7 @@
 """Service during which a rank has work waiting without a break before it counts
 as flooding."""
 
-SAVED_SECONDS = 0.5
+IDLE_CREDIT_SECONDS = 0.5
 """Service that a rank without waiting work saves up against a more urgent rank
 that floods. Without it a rank that uses three quarters of its floor waits as at
 a slow server: half its work for over 0.1 s, and the entry limits refuse some.
@@ -64,7 +64,7 @@
 
     partner: str
     rank: str
-    owed: bool
+    behind_floor: bool
     seconds: float = 0.0
     rank_seconds: float = 0.0
 
@@ -112,13 +112,13 @@
             and self.total_clock - self.waiting_since[other] >= FLOOD_SECONDS
             for other in waiting
         )
-        saved = SAVED_SECONDS if flooded else 0.0
+        credit = IDLE_CREDIT_SECONDS if flooded else 0.0
         clock = self.rank_clocks.get(rank, float("-inf"))
-        self.rank_clocks[rank] = max(clock, self.total_clock - saved)
+        self.rank_clocks[rank] = max(clock, self.total_clock - credit)
         self.waiting_since[rank] = self.total_clock
 
     def choose(
-        self, leaves: list[tuple[str, str]], view: views.PoolView
+        self, flows: list[tuple[str, str]], view: views.PoolView
     ) -> tuple[str, str]:
         """Return the (partner, rank) to serve among those with waiting work.
 
@@ -127,21 +127,23 @@
         lowest clock is served, but if it is more than the window ahead of
         another partner with waiting work, that one is served.
         """
-        chosen = self._choose_rank(leaves, view)
-        partner = self._choose_partner(leaf for leaf in leaves if leaf[1] == chosen)
-        behind = self._choose_partner(leaves)
+        chosen = self._choose_rank(flows, view)
+        partner = self._choose_partner(flow for flow in flows if flow[1] == chosen)
+        behind = self._choose_partner(flows)
         lead = self.partner_clocks[partner] - self.partner_clocks[behind]
         if lead <= PARTNER_WINDOW_SECONDS:
             return partner, chosen
-        own = [leaf for leaf in leaves if leaf[0] == behind]
+        own = [flow for flow in flows if flow[0] == behind]
         return behind, self._choose_rank(own, view)
 
     def start(self, partner: str, rank: str, view: views.PoolView) -> Charge:
         """Return the charge of work that is about to start."""
         self.start_clock = max(self.start_clock, self.partner_clocks[partner])
-        return Charge(partner=partner, rank=rank, owed=self._is_owed(rank, view))
+        return Charge(
+            partner=partner, rank=rank, behind_floor=self._is_behind_floor(rank, view)
+        )
 
-    def settle(
+    def adjust_charge(
         self, charge: Charge, seconds: float, share: float, view: views.PoolView
     ) -> None:
         """Change the slot time charged for a work item to ``seconds``."""
@@ -158,7 +160,7 @@
         self.total_clock += change / slots
         floor = rank_spec(view, charge.rank).floor
         if floor > 0.0:
-            self._settle_rank(charge, change, floor * slots)
+            self._adjust_rank_charge(charge, change, floor * slots)
 
     def forget(self, partners: set[str], ranks: set[str]) -> None:
         """Drop the clocks of all partners and ranks but the given ones."""
@@ -168,9 +170,9 @@
             del self.rank_clocks[name]
             self.waiting_since.pop(name, None)
 
-    def _settle_rank(self, charge: Charge, change: float, rate: float) -> None:
+    def _adjust_rank_charge(self, charge: Charge, change: float, rate: float) -> None:
         clock = self.rank_clocks.get(charge.rank, self.total_clock)
-        if not charge.owed:
+        if not charge.behind_floor:
             if change > 0.0:
                 room = self.total_clock + RANK_WINDOW_SECONDS - clock
                 change = min(change, max(0.0, room * rate))
@@ -182,21 +184,23 @@
             clock, self.total_clock - LARGEST_LAG_SECONDS
         )
 
-    def _is_owed(self, rank: str, view: views.PoolView) -> bool:
+    def _is_behind_floor(self, rank: str, view: views.PoolView) -> bool:
         return (
             rank_spec(view, rank).floor > 0.0
-            and self.total_clock - self.rank_clocks[rank] >= OWED_SECONDS
+            and self.total_clock - self.rank_clocks[rank] >= FLOOR_LAG_SECONDS
         )
 
-    def _choose_rank(self, leaves: list[tuple[str, str]], view: views.PoolView) -> str:
-        ranks = {rank for _, rank in leaves}
+    def _choose_rank(self, flows: list[tuple[str, str]], view: views.PoolView) -> str:
+        ranks = {rank for _, rank in flows}
         # Floors add up to at most 1, so an owed rank that is more urgent cannot
         # keep a less urgent one from its floor.
-        owed = {rank for rank in ranks if self._is_owed(rank, view)}
-        return min(owed or ranks, key=lambda rank: (rank_spec(view, rank).order, rank))
+        behind_floor = {rank for rank in ranks if self._is_behind_floor(rank, view)}
+        return min(
+            behind_floor or ranks, key=lambda rank: (rank_spec(view, rank).order, rank)
+        )
 
-    def _choose_partner(self, leaves) -> str:
+    def _choose_partner(self, flows) -> str:
         return min(
-            {partner for partner, _ in leaves},
+            {partner for partner, _ in flows},
             key=lambda partner: (self.partner_clocks[partner], partner),
         )
--- a/hyssopshelf/scheduling/tests/test_queues.py
+++ b/hyssopshelf/scheduling/tests/test_queues.py
@@ -324,9 +324,9 @@
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(data=st.data())
-    def put_back(self, data):
+    def requeue(self, data):
         item = self.running.pop(data.draw(st.sampled_from(sorted(self.running))))
-        self.queue.put_back(item)
+        self.queue.requeue(item)
         self.waiting.add(item.id)
 
     @stateful.rule(seconds=st.floats(0.0, 0.5))
--- a/hyssopshelf/statements/serving.py
+++ b/hyssopshelf/statements/serving.py
@@ -254,7 +254,7 @@
         if not served.connection:
             connection = pool.claim_connection(board, endpoint, served.id)
             if connection is None:
-                queue.put_back(item)
+                queue.requeue(item)
                 wanted = max(1, min(view.slots, queue.waiting))
                 pool.open_connections(board, endpoint, wanted, view.connections, now)
                 return
