--- a/hyssopshelf/logs.py
+++ b/hyssopshelf/logs.py
@@ -210,7 +210,7 @@
     refilled_at: float = 0.0
     suppressed: int = 0
 
-    def spend(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Return whether one more line may be written."""
         self.available = min(
             self.burst, self.available + (now - self.refilled_at) * self.rate
@@ -276,7 +276,7 @@
 def write_request(event: LogEvent, fields: dict, success: bool = False) -> None:
     """Write a line about a request, within the budget of its outcome."""
     budget = _SUCCESSES if success else _FAILURES
-    if budget.spend(time.monotonic()):
+    if budget.try_take(time.monotonic()):
         write(event, fields)
 
 
--- a/hyssopshelf/scheduling/billing.py
+++ b/hyssopshelf/scheduling/billing.py
@@ -363,7 +363,7 @@
 
 def _send(board, host: str, message: object, now: float) -> bool:
     size = shares.encoded_bytes(board, message)
-    if not board.bills.budget.spend(size, now):
+    if not board.bills.budget.try_take(size, now):
         board.count("billing_messages_deferred")
         return False
     board.count("billing_bytes_sent", size)
--- a/hyssopshelf/scheduling/budgets.py
+++ b/hyssopshelf/scheduling/budgets.py
@@ -2,10 +2,10 @@
 
 import attrs
 
-RETRY_EARNED_PER_REQUEST = 0.1
+DEPOSIT_PER_REQUEST = 0.1
 """Retries earned by a request, so that retries add at most 10% of load."""
 
-RETRY_CAP = 10.0
+MAXIMUM_RETRY_TOKENS = 10.0
 """Largest number of saved retries; it bounds the burst after an outage."""
 
 
@@ -20,13 +20,13 @@
         started can ride out a single fault.
     """
 
-    tokens: float = RETRY_CAP
+    tokens: float = MAXIMUM_RETRY_TOKENS
 
-    def earn(self, now: float) -> None:
+    def deposit(self, now: float) -> None:
         """Add the part of a retry that a request earns."""
-        self.tokens = min(RETRY_CAP, self.tokens + RETRY_EARNED_PER_REQUEST)
+        self.tokens = min(MAXIMUM_RETRY_TOKENS, self.tokens + DEPOSIT_PER_REQUEST)
 
-    def spend(self, now: float) -> bool:
+    def try_withdraw(self, now: float) -> bool:
         """Take one retry; return False if none is left."""
         if self.tokens < 1.0 - 1e-9:
             return False
@@ -46,16 +46,16 @@
 
     bytes_per_second: float
     _bytes: float = attrs.field(default=0.0, init=False)
-    _earned_at: float | None = attrs.field(default=None, init=False)
+    _refilled_at: float | None = attrs.field(default=None, init=False)
 
-    def spend(self, size: int, now: float) -> bool:
+    def try_take(self, size: int, now: float) -> bool:
         """Take ``size`` bytes; return False if they are not there."""
-        if self._earned_at is None:
+        if self._refilled_at is None:
             self._bytes = self.bytes_per_second
         else:
-            earned = (now - self._earned_at) * self.bytes_per_second
-            self._bytes = min(self.bytes_per_second, self._bytes + max(0.0, earned))
-        self._earned_at = now
+            refill = (now - self._refilled_at) * self.bytes_per_second
+            self._bytes = min(self.bytes_per_second, self._bytes + max(0.0, refill))
+        self._refilled_at = now
         if size > self._bytes:
             return False
         self._bytes -= size
--- a/hyssopshelf/scheduling/limits.py
+++ b/hyssopshelf/scheduling/limits.py
@@ -5,17 +5,17 @@
 
 from hyssopshelf.scheduling import work
 
-FIRST_LIMIT = 64.0
-LARGEST_LIMIT = 1024.0
+INITIAL_LIMIT = 64.0
+MAXIMUM_LIMIT = 1024.0
 
-SMALLEST_LIMIT = 4.0
+MINIMUM_LIMIT = 4.0
 """Statements that are always let through, so that a limited rank keeps work
 waiting at the serving nodes for its floor and the limit can recover."""
 
-CUT = 0.7
+DECREASE_FACTOR = 0.7
 """Factor on a limit after a signal of overload."""
 
-SHORTEST_ROUND_SECONDS = 0.1
+MINIMUM_ROUND_SECONDS = 0.1
 """Least time between two cuts. Answers that were under way when a limit was cut
 still report the old overload; counting them again would collapse the limit."""
 
@@ -42,9 +42,9 @@
         Moving average of the time in the queue that answers report.
     """
 
-    largest: float = FIRST_LIMIT
+    maximum: float = INITIAL_LIMIT
     outstanding: int = 0
-    cut_at: float = float("-inf")
+    decreased_at: float = float("-inf")
     used_at: float = float("-inf")
     queueing_seconds: float = 0.0
 
@@ -74,9 +74,9 @@
         )
     limit = board.admission.limits.setdefault((pool, partner, rank), Limit())
     limit.used_at = now
-    if limit.outstanding >= limit.largest:
+    if limit.outstanding >= limit.maximum:
         board.count("limits_refused")
-        seconds = max(limit.queueing_seconds, SHORTEST_ROUND_SECONDS)
+        seconds = max(limit.queueing_seconds, MINIMUM_ROUND_SECONDS)
         return result.Err(work.Refusal(reason=LIMITED, retry_after_seconds=seconds))
     limit.outstanding += 1
     return result.Ok(None)
@@ -115,20 +115,20 @@
         limit.queueing_seconds += 0.1 * (queueing_seconds - limit.queueing_seconds)
     target = view.ranks[rank].target_seconds
     if not refused and limit.queueing_seconds <= target:
-        if limit.outstanding * 2 >= limit.largest:
-            limit.largest = min(LARGEST_LIMIT, limit.largest + 1.0 / limit.largest)
+        if limit.outstanding * 2 >= limit.maximum:
+            limit.maximum = min(MAXIMUM_LIMIT, limit.maximum + 1.0 / limit.maximum)
         return
-    round_seconds = max(target, SHORTEST_ROUND_SECONDS)
-    if now - limit.cut_at < round_seconds:
+    round_seconds = max(target, MINIMUM_ROUND_SECONDS)
+    if now - limit.decreased_at < round_seconds:
         return
-    limit.cut_at = now
+    limit.decreased_at = now
     # A full queue is caused by the rank itself. A slow queue may be caused by
     # less urgent work that holds the slots, so that work is limited first.
     victim = limit if refused else _least_urgent(board, view, (pool, partner, rank))
     # Starting from the outstanding statements makes the first cut effective
     # when the limit is far above the traffic.
-    victim.largest = max(
-        SMALLEST_LIMIT, min(victim.largest, max(victim.outstanding, 1)) * CUT
+    victim.maximum = max(
+        MINIMUM_LIMIT, min(victim.maximum, max(victim.outstanding, 1)) * DECREASE_FACTOR
     )
     board.count("limits_cut")
 
@@ -162,6 +162,6 @@
         limit = board.admission.limits.get((pool, partner, other))
         if view.ranks[other].order <= order:
             break
-        if limit and limit.outstanding and limit.largest > SMALLEST_LIMIT:
+        if limit and limit.outstanding and limit.maximum > MINIMUM_LIMIT:
             return limit
     return board.admission.limits[key]
--- a/hyssopshelf/scheduling/queues.py
+++ b/hyssopshelf/scheduling/queues.py
@@ -9,8 +9,8 @@
 from hyssopshelf.configuration import views
 from hyssopshelf.scheduling import estimates, service, work
 
-SHORTEST_RETRY_SECONDS = 0.05
-LONGEST_RETRY_SECONDS = 30.0
+MINIMUM_RETRY_SECONDS = 0.05
+MAXIMUM_RETRY_SECONDS = 30.0
 
 QUEUE_FULL = "queue of the rank is full"
 DEADLINE_TOO_CLOSE = "cannot finish by its deadline"
@@ -117,7 +117,7 @@
             raise exceptions.InvariantError(f"work {item.id} is queued twice")
         self._use_view(view)
         if item.rank not in view.ranks or item.partner not in self._partners:
-            return _refuse(UNDECLARED, LONGEST_RETRY_SECONDS)
+            return _refuse(UNDECLARED, MAXIMUM_RETRY_SECONDS)
         flow = self._flows.setdefault((item.partner, item.rank), Flow())
         if item.in_transaction:
             connections = max(view.connections, held)
@@ -233,12 +233,12 @@
         # An open transaction holds a connection and runs one statement at a
         # time, so the connections bound these statements, not the queue limit.
         if item.deadline <= now + flow.estimate.estimate_minimum(now):
-            return _refuse(DEADLINE_TOO_CLOSE, SHORTEST_RETRY_SECONDS)
+            return _refuse(DEADLINE_TOO_CLOSE, MINIMUM_RETRY_SECONDS)
         if (
             sum(len(other.in_transaction) for other in self._flows.values())
             >= connections
         ):
-            return _refuse(NO_CONNECTION_LEFT, LONGEST_RETRY_SECONDS)
+            return _refuse(NO_CONNECTION_LEFT, MAXIMUM_RETRY_SECONDS)
         self._add(item, now)
         return result.Ok(())
 
@@ -339,6 +339,6 @@
 
 def _refuse(reason: str, retry_after_seconds: float) -> result.Err[work.Refusal]:
     seconds = min(
-        max(retry_after_seconds, SHORTEST_RETRY_SECONDS), LONGEST_RETRY_SECONDS
+        max(retry_after_seconds, MINIMUM_RETRY_SECONDS), MAXIMUM_RETRY_SECONDS
     )
     return result.Err(work.Refusal(reason=reason, retry_after_seconds=seconds))
--- a/hyssopshelf/scheduling/service.py
+++ b/hyssopshelf/scheduling/service.py
@@ -28,11 +28,11 @@
 a slow server: half its work for over 0.1 s, and the entry limits refuse some.
 While nothing more urgent floods, urgent work must not wait for such claims."""
 
-LARGEST_LAG_SECONDS = 1.0
+MAXIMUM_LAG_SECONDS = 1.0
 """Largest service that a rank may be owed. A floor that only a partner beyond
 its share could use would otherwise build up a claim without bound."""
 
-SMALLEST_SHARE = 0.001
+MINIMUM_SHARE = 0.001
 """Share of a partner that the split does not name; a share divides, so it
 must not be 0."""
 
@@ -152,7 +152,7 @@
         if change == 0.0:
             return
         slots = max(view.slots, 1)
-        share = max(share, SMALLEST_SHARE)
+        share = max(share, MINIMUM_SHARE)
         self.partner_clocks[charge.partner] = (
             self.partner_clocks.get(charge.partner, self.start_clock)
             + change / share / slots
@@ -181,7 +181,7 @@
         charge.rank_seconds += change
         clock += change / rate
         self.rank_clocks[charge.rank] = max(
-            clock, self.total_clock - LARGEST_LAG_SECONDS
+            clock, self.total_clock - MAXIMUM_LAG_SECONDS
         )
 
     def _is_behind_floor(self, rank: str, view: views.PoolView) -> bool:
--- a/hyssopshelf/scheduling/shares.py
+++ b/hyssopshelf/scheduling/shares.py
@@ -32,14 +32,14 @@
 WAITING_FRACTION = 0.3
 """Part of the time with waiting work above which a partner wants more service."""
 
-SMALLEST_WAITING = 1e-4
+MINIMUM_WAITING = 1e-4
 """Average below which the entry of a partner is dropped."""
 
 GAIN_PER_SECOND = 0.15
 """Speed of the correction. With the averages' delay of 5 s it settles in about
 20 s without overshooting by more than the share tolerance."""
 
-LARGEST_CORRECTION = 4.0
+MAXIMUM_CORRECTION = 4.0
 """Bound of a factor and its inverse. It keeps a part of each endpoint for a
 partner that gets its share elsewhere, as its work here may be urgent."""
 
@@ -97,7 +97,7 @@
     slots_used: dict[tuple[str, str], float] = attrs.field(factory=dict)
     waiting: dict[str, float] = attrs.field(factory=dict)
     peers: dict[str, PeerUsage] = attrs.field(factory=dict)
-    factors: dict[str, float] = attrs.field(factory=dict)
+    corrections: dict[str, float] = attrs.field(factory=dict)
     unsent: list[str] = attrs.field(factory=list)
     hosts: tuple[str, ...] = ()
     hosts_read_at: float = float("-inf")
@@ -178,16 +178,16 @@
     elapsed = 0.0 if state.sampled_at is None else max(0.0, now - state.sampled_at)
     state.sampled_at = now
     weight = 1.0 - math.exp(-elapsed / SMOOTHING_SECONDS)
-    wanting: dict[str, set[str]] = {}
+    backlogged: dict[str, set[str]] = {}
     for queue in board.endpoint_queues.values():
-        wanting.setdefault(queue.pool, set()).update(queue.waiting_partners)
-    for pool, partners in wanting.items():
+        backlogged.setdefault(queue.pool, set()).update(queue.waiting_partners)
+    for pool, partners in backlogged.items():
         usage = state.pools.setdefault(pool, PoolUsage())
         for partner in partners | usage.waiting.keys():
             average = usage.waiting.get(partner, 0.0)
             sample = 1.0 if partner in partners else 0.0
             usage.waiting[partner] = average + weight * (sample - average)
-            if usage.waiting[partner] < SMALLEST_WAITING:
+            if usage.waiting[partner] < MINIMUM_WAITING:
                 del usage.waiting[partner]
 
 
@@ -232,30 +232,32 @@
         report = peer.report
         for partner, percent in zip(report.partners, report.waiting, strict=False):
             waiting[partner] = max(waiting.get(partner, 0.0), percent / 100.0)
-    wanting = {
+    backlogged = {
         partner
         for partner, share in view.capacity.items()
         if share > 0.0 and waiting.get(partner, 0.0) >= WAITING_FRACTION
     }
-    total = sum(used[partner] for partner in wanting)
-    shares = sum(view.capacity[partner] for partner in wanting)
+    total = sum(used[partner] for partner in backlogged)
+    shares = sum(view.capacity[partner] for partner in backlogged)
     change = min(1.0, GAIN_PER_SECOND * elapsed)
-    logs = {partner: math.log(state.factors.get(partner, 1.0)) for partner in used}
+    log_corrections = {
+        partner: math.log(state.corrections.get(partner, 1.0)) for partner in used
+    }
     for partner in used:
-        if partner in wanting and len(wanting) > 1 and total > 0.0:
+        if partner in backlogged and len(backlogged) > 1 and total > 0.0:
             target = view.capacity[partner] / shares
             error = (target - used[partner] / total) / target
-            logs[partner] += change * max(-1.0, min(1.0, error))
+            log_corrections[partner] += change * max(-1.0, min(1.0, error))
         else:
-            logs[partner] *= 1.0 - change
-    bound = math.log(LARGEST_CORRECTION)
-    state.factors = {
+            log_corrections[partner] *= 1.0 - change
+    bound = math.log(MAXIMUM_CORRECTION)
+    state.corrections = {
         partner: math.exp(max(-bound, min(bound, value)))
-        for partner, value in logs.items()
+        for partner, value in log_corrections.items()
     }
     for queue in board.endpoint_queues.values():
         if queue.pool == pool:
-            queue.corrections = state.factors
+            queue.corrections = state.corrections
 
 
 def _report(board, pool: str) -> UsageReport:
@@ -291,7 +293,7 @@
     for _ in peers:
         if not state.unsent:
             state.unsent = board.random.sample(peers, len(peers))
-        if not board.usage.budget.spend(size, now):
+        if not board.usage.budget.try_take(size, now):
             return
         board.count("usage_bytes_sent", size)
         board.act(base.SendPeer(host=state.unsent.pop(), message=report))
--- a/hyssopshelf/scheduling/tests/test_limits.py
+++ b/hyssopshelf/scheduling/tests/test_limits.py
@@ -44,9 +44,9 @@
     fill(board, "a", "background")
     overload(board, "a", "background", 10, refused=True)
     key = ("p", "a", "background")
-    assert board.admission.limits[key].largest == limits.SMALLEST_LIMIT
-    assert fill(board, "b", "background") == limits.FIRST_LIMIT
-    assert fill(board, "a", "urgent") == limits.FIRST_LIMIT
+    assert board.admission.limits[key].maximum == limits.MINIMUM_LIMIT
+    assert fill(board, "b", "background") == limits.INITIAL_LIMIT
+    assert fill(board, "a", "urgent") == limits.INITIAL_LIMIT
 
 
 def test_most_urgent_rank_is_limited_last(board):
@@ -56,10 +56,10 @@
     urgent = board.admission.limits["p", "a", "urgent"]
     background = board.admission.limits["p", "a", "background"]
     overload(board, "a", "urgent", 7, refused=False)
-    assert urgent.largest == limits.FIRST_LIMIT
+    assert urgent.maximum == limits.INITIAL_LIMIT
     overload(board, "a", "urgent", 20, refused=False)
-    assert background.largest == limits.SMALLEST_LIMIT
-    assert urgent.largest < limits.FIRST_LIMIT
+    assert background.maximum == limits.MINIMUM_LIMIT
+    assert urgent.maximum < limits.INITIAL_LIMIT
 
 
 def test_limit_recovers_after_overload(board):
@@ -69,7 +69,7 @@
     limit = board.admission.limits["p", "a", "normal"]
     for number in range(1000):
         limits.record_answer(board, "p", "a", "normal", False, 0.0, 30.0 + number)
-    assert limit.largest > 40.0
+    assert limit.maximum > 40.0
 
 
 def test_one_overload_cuts_once(board):
@@ -78,7 +78,7 @@
     for _ in range(50):
         limits.record_answer(board, "p", "a", "normal", True, 9.0, 5.0)
     limit = board.admission.limits["p", "a", "normal"]
-    assert limit.largest == pytest.approx(limits.FIRST_LIMIT * limits.CUT)
+    assert limit.maximum == pytest.approx(limits.INITIAL_LIMIT * limits.DECREASE_FACTOR)
 
 
 def test_undeclared_names_take_no_state(board):
--- a/hyssopshelf/scheduling/tests/test_shares.py
+++ b/hyssopshelf/scheduling/tests/test_shares.py
@@ -108,14 +108,14 @@
 def test_lone_partner_gets_no_correction():
     """Guards against factors that grow while there is nobody to lend from."""
     _, boards = run_fleet({"h1": "a", "h2": "a", "h3": "a"}, 20.0)
-    assert boards["h1"].usage.pools["p"].factors["a"] == pytest.approx(1.0)
+    assert boards["h1"].usage.pools["p"].corrections["a"] == pytest.approx(1.0)
 
 
 def test_correction_is_bounded_when_the_share_cannot_be_reached():
     """Guards against a partner shut out at an endpoint by its service elsewhere."""
     used, boards = run_fleet({"h1": "ab", "h2": "b", "h3": "b"}, 60.0)
-    factors = boards["h1"].usage.pools["p"].factors
-    assert factors["a"] == pytest.approx(shares.LARGEST_CORRECTION)
+    corrections = boards["h1"].usage.pools["p"].corrections
+    assert corrections["a"] == pytest.approx(shares.MAXIMUM_CORRECTION)
     assert used["a"] / sum(used.values()) < 1 / 3
 
 
--- a/hyssopshelf/statements/entry.py
+++ b/hyssopshelf/statements/entry.py
@@ -52,7 +52,7 @@
         staleness_seconds=kind.staleness_seconds,
     )
     board.count(f"statements_{statement.operation.value}")
-    board.retry_budget.earn(now)
+    board.retry_budget.deposit(now)
     if _admit(board, request, now):
         dispatch(board, request, now)
 
@@ -306,7 +306,7 @@
 
 def _finish_dead_host(board, request, now: float) -> None:
     reading = request.statement.operation is messages.Operation.GET
-    if reading and _may_move(request) and board.retry_budget.spend(now):
+    if reading and _may_move(request) and board.retry_budget.try_withdraw(now):
         park(board, request, "the serving host is dead", now)
         return
     answers.reply_lost(board, request, "the serving host is dead")
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -8,7 +8,7 @@
 def test_lines_about_requests_are_bounded():
     """Ten thousand requests in a second leave a budgeted number of lines."""
     budget = logs.LineBudget(rate=20.0, burst=40.0)
-    written = sum(budget.spend(number / 10_000) for number in range(10_000))
+    written = sum(budget.try_take(number / 10_000) for number in range(10_000))
     assert written <= 40 + 20
     assert written + budget.suppressed == 10_000
 
