--- a/hyssopshelf/configuration/bills.py
+++ b/hyssopshelf/configuration/bills.py
@@ -2,7 +2,7 @@
 
 from hyssopshelf import base, exceptions, platform
 from hyssopshelf.configuration import declarations, requests
-from hyssopshelf.scheduling import billing, settlement
+from hyssopshelf.scheduling import bill_writes, billing
 
 
 def start(board, caller: str, request: requests.Bill, now: float) -> None:
@@ -13,7 +13,7 @@
     """
     call_id = board.next_id()
     board.configuration.bill_reads[call_id] = (caller, request.pool)
-    key = settlement.KEY_PREFIX + request.pool
+    key = bill_writes.KEY_PREFIX + request.pool
     board.act(base.CallStore(call_id=call_id, operation=platform.Get(key=key)))
 
 
--- a/hyssopshelf/scheduling/accounts.py
+++ b/hyssopshelf/scheduling/accounts.py
@@ -7,13 +7,13 @@
 
 from hyssopshelf import exceptions, messages
 
-LATE_WRITES = 1440
+RETENTION_WRITES = 1440
 """Writes of the document, a day at one a minute, for which the account of a host
 that is gone is kept open after its last change, and for which the mark of such
 a host is kept after its account was folded. Counting writes needs no clock
 that hosts share, and goes on when another host becomes the writer."""
 
-LARGEST_PART = 12
+MAXIMUM_PART_AMOUNTS = 12
 """Amounts in one message. A message then stays below half of the byte budget of a
 second, so that large accounts cannot exceed it forever."""
 
@@ -159,16 +159,16 @@
             pool=pool,
             host=host,
             incarnation=incarnation,
-            amounts=_listed(amounts),
+            amounts=_to_rows(amounts),
         )
 
-    def is_quiet(self, host: str, incarnation: int) -> bool:
+    def is_unchanged(self, host: str, incarnation: int) -> bool:
         """Return whether an account did not change for a day of writes."""
         row = self.stored.get((host, incarnation))
         return (
             row is not None
-            and row.amounts == _listed(self.open[host, incarnation])
-            and self.sequence - row.changed >= LATE_WRITES
+            and row.amounts == _to_rows(self.open[host, incarnation])
+            and self.sequence - row.changed >= RETENTION_WRITES
         )
 
     def draft(self, pool: str, ended: set[tuple[str, int]], present: set[str]) -> Bill:
@@ -198,14 +198,14 @@
         folded = {
             host: mark
             for host, mark in self.folded.items()
-            if host in present or sequence - mark.sequence < LATE_WRITES
+            if host in present or sequence - mark.sequence < RETENTION_WRITES
         }
         for host, incarnation in last.items():
             folded[host] = Folded(host=host, incarnation=incarnation, sequence=sequence)
         return Bill(
             pool=pool,
             sequence=sequence,
-            closed=_listed(closed),
+            closed=_to_rows(closed),
             accounts=tuple(kept),
             folded=tuple(folded[host] for host in sorted(folded)),
         )
@@ -229,8 +229,8 @@
 def split_account(account: Account) -> tuple[AccountCopy, ...]:
     """Return an account in parts that each fit into one message."""
     return tuple(
-        _copy_part(account, account.amounts[start : start + LARGEST_PART])
-        for start in range(0, len(account.amounts), LARGEST_PART)
+        _copy_part(account, account.amounts[start : start + MAXIMUM_PART_AMOUNTS])
+        for start in range(0, len(account.amounts), MAXIMUM_PART_AMOUNTS)
     )
 
 
@@ -285,5 +285,5 @@
     return messages.structure(plain, Bill)
 
 
-def _listed(amounts: Amounts) -> tuple[tuple[str, str, float], ...]:
+def _to_rows(amounts: Amounts) -> tuple[tuple[str, str, float], ...]:
     return tuple((p, r, seconds) for (p, r), seconds in sorted(amounts.items()))
--- a/hyssopshelf/scheduling/settlement.py
+++ b/hyssopshelf/scheduling/bill_writes.py
@@ -15,7 +15,7 @@
 KEY_PREFIX = "billing/"
 PERIOD_SECONDS = 60.0
 RETRY_SECONDS = 1.0
-LONGEST_RETRY_SECONDS = 60.0
+MAXIMUM_RETRY_SECONDS = 60.0
 
 ANSWER_SECONDS = 10.0
 """Time after which a call without an answer counts as lost."""
@@ -26,7 +26,7 @@
 
 
 @attrs.define(kw_only=True)
-class Settlement:
+class BillWriteState:
     """State of the writes of one pool's bill.
 
     Attributes
@@ -57,8 +57,8 @@
 
 def write(board, pool: str, now: float) -> None:
     """Read or write the bill of a pool if it is time."""
-    state = board.bills.settlements.setdefault(pool, Settlement())
-    held = board.bills.pools.setdefault(pool, accounts.PoolAccounts())
+    state = board.bills.write_states.setdefault(pool, BillWriteState())
+    pool_accounts = board.bills.pools.setdefault(pool, accounts.PoolAccounts())
     if state.call_id:
         if now - state.asked_at < ANSWER_SECONDS:
             return
@@ -70,8 +70,10 @@
         state.is_write = False
         _call(board, state, platform.Get(key=key), now)
         return
-    draft = held.draft(pool, _ended(board, state, pool, now), set(board.hosts))
-    if state.written is not None and _same(draft, state.written):
+    draft = pool_accounts.draft(
+        pool, _find_ended(board, state, pool, now), set(board.hosts)
+    )
+    if state.written is not None and _has_same_accounts(draft, state.written):
         state.next_at = now + PERIOD_SECONDS
         return
     state.is_write = True
@@ -84,7 +86,7 @@
 
 def store_answered(event: base.StoreAnswered, board, now: float) -> bool:
     """Apply a store answer; return whether it belongs to a bill."""
-    for pool, state in board.bills.settlements.items():
+    for pool, state in board.bills.write_states.items():
         if state.call_id == event.call_id:
             _apply(event, board, state, pool, now)
             return True
@@ -92,7 +94,7 @@
 
 
 def _apply(
-    event: base.StoreAnswered, board, state: Settlement, pool: str, now: float
+    event: base.StoreAnswered, board, state: BillWriteState, pool: str, now: float
 ) -> None:
     if event.result.is_err():
         _fail(board, state, pool, now)
@@ -101,7 +103,7 @@
     answer = event.result.unwrap()
     swapped = state.is_write and answer.succeeded
     entry = answer.current if state.is_write else answer
-    held = board.bills.pools[pool]
+    pool_accounts = board.bills.pools[pool]
     try:
         document = _decode(entry, pool)
     except exceptions.CodecError:
@@ -110,7 +112,7 @@
         state.revision = None
         state.next_at = now + PERIOD_SECONDS
         return
-    held.adopt(document)
+    pool_accounts.adopt(document)
     state.revision = entry.revision if entry is not None else 0
     state.retry_seconds = RETRY_SECONDS
     if swapped:
@@ -127,13 +129,13 @@
     return accounts.decode_bill(entry.value)
 
 
-def _call(board, state: Settlement, operation: object, now: float) -> None:
+def _call(board, state: BillWriteState, operation: object, now: float) -> None:
     state.call_id = board.next_id()
     state.asked_at = now
     board.act(base.CallStore(call_id=state.call_id, operation=operation))
 
 
-def _fail(board, state: Settlement, pool: str, now: float) -> None:
+def _fail(board, state: BillWriteState, pool: str, now: float) -> None:
     """Forget what the store holds; the next call reads it back."""
     board.log(
         logs.LogEvent.BILL_OUTCOME_UNKNOWN, pool=pool, retry_seconds=state.retry_seconds
@@ -142,10 +144,10 @@
     state.call_id = ""
     state.revision = None
     state.next_at = now + state.retry_seconds
-    state.retry_seconds = min(LONGEST_RETRY_SECONDS, 2.0 * state.retry_seconds)
+    state.retry_seconds = min(MAXIMUM_RETRY_SECONDS, 2.0 * state.retry_seconds)
 
 
-def _same(draft: accounts.Bill, written: accounts.Bill) -> bool:
+def _has_same_accounts(draft: accounts.Bill, written: accounts.Bill) -> bool:
     return (
         draft.closed == written.closed
         and draft.accounts == written.accounts
@@ -153,15 +155,17 @@
     )
 
 
-def _ended(board, state: Settlement, pool: str, now: float) -> set[tuple[str, int]]:
+def _find_ended(
+    board, state: BillWriteState, pool: str, now: float
+) -> set[tuple[str, int]]:
     """Return the incarnations that can no longer grow."""
-    held = board.bills.pools[pool]
+    pool_accounts = board.bills.pools[pool]
     newest = {host: row.incarnation for host, row in board.hosts.items()}
-    for host, incarnation in [*held.open, _own_key(board)]:
+    for host, incarnation in [*pool_accounts.open, _own_key(board)]:
         newest[host] = max(incarnation, newest.get(host, incarnation))
     since = {
         key: state.superseded_since.get(key, now)
-        for key in held.open
+        for key in pool_accounts.open
         if newest[key[0]] > key[1]
     }
     state.superseded_since = since
@@ -169,7 +173,9 @@
         key for key, seen_at in since.items() if now - seen_at >= SUPERSEDED_SECONDS
     }
     return ended | {
-        key for key in held.open if _is_absent(board, key[0]) and held.is_quiet(*key)
+        key
+        for key in pool_accounts.open
+        if _is_absent(board, key[0]) and pool_accounts.is_unchanged(*key)
     }
 
 
--- a/hyssopshelf/scheduling/billing.py
+++ b/hyssopshelf/scheduling/billing.py
@@ -7,13 +7,13 @@
 
 from hyssopshelf import base, logs, messages
 from hyssopshelf.membership import records, rendezvous
-from hyssopshelf.scheduling import accounts, budgets, settlement, shares
+from hyssopshelf.scheduling import accounts, bill_writes, budgets, shares
 
 PERIOD_SECONDS = 1.0
 """Time between two copies of the own accounts to their keepers; a node that dies
 loses at most the slot time of this time and of one message."""
 
-KEEPERS = 2
+BACKUP_HOSTS = 2
 """Peers that hold copies of a node's own accounts."""
 
 WRITER_REPORTS_PER_SECOND = 8
@@ -54,9 +54,9 @@
     ----------
     pools : dict of str to PoolAccounts
         Accounts by pool.
-    settlements : dict of str to Settlement
+    write_states : dict of str to BillWriteState
         State of the writes to the store, by pool that this node writes.
-    keepers : tuple of str
+    backup_hosts : tuple of str
         Peers that hold copies of the own accounts.
     writers : dict of str to str
         Host that writes the bill, by pool.
@@ -70,8 +70,8 @@
     """
 
     pools: dict[str, accounts.PoolAccounts] = attrs.field(factory=dict)
-    settlements: dict[str, settlement.Settlement] = attrs.field(factory=dict)
-    keepers: tuple[str, ...] = ()
+    write_states: dict[str, bill_writes.BillWriteState] = attrs.field(factory=dict)
+    backup_hosts: tuple[str, ...] = ()
     writers: dict[str, str] = attrs.field(factory=dict)
     hosts_read_at: float = float("-inf")
     hosts_key: tuple = ()
@@ -110,8 +110,8 @@
 def account(board, pool: str, partner: str, rank: str, slot_seconds: float) -> None:
     """Add slot time to this node's account and to its recent usage."""
     shares.record_usage(board, pool, partner, rank, slot_seconds)
-    held = board.bills.pools.setdefault(pool, accounts.PoolAccounts())
-    own = held.open.setdefault(_own_key(board), {})
+    pool_accounts = board.bills.pools.setdefault(pool, accounts.PoolAccounts())
+    own = pool_accounts.open.setdefault(_own_key(board), {})
     own[partner, rank] = own.get((partner, rank), 0.0) + slot_seconds
 
 
@@ -121,8 +121,8 @@
     The writer of the pool knows all accounts; another node knows its own and
     those that it keeps copies of.
     """
-    held = board.bills.pools.get(pool)
-    return held.total() if held is not None else {}
+    pool_accounts = board.bills.pools.get(pool)
+    return pool_accounts.total() if pool_accounts is not None else {}
 
 
 def bill(board, pool: str) -> tuple[BillLine, ...]:
@@ -138,9 +138,9 @@
     CodecError
         If the data is not a bill document.
     """
-    held = accounts.PoolAccounts()
-    held.adopt(accounts.decode_bill(data))
-    return bill_of_amounts(board, pool, held.total())
+    pool_accounts = accounts.PoolAccounts()
+    pool_accounts.adopt(accounts.decode_bill(data))
+    return bill_of_amounts(board, pool, pool_accounts.total())
 
 
 def bill_of_amounts(
@@ -167,36 +167,36 @@
     state = board.bills
     if now - state.hosts_read_at >= HOSTS_REFRESH_SECONDS:
         state.hosts_read_at = now
-        _follow_hosts(board, now)
+        _update_hosts(board, now)
     if now - state.copied_at >= PERIOD_SECONDS - shares.ROUNDING_SECONDS:
         state.copied_at = now
         _send_copies(board, now)
     for pool, writer in state.writers.items():
         if writer == board.identity.host:
-            settlement.write(board, pool, now)
+            bill_writes.write(board, pool, now)
         else:
-            state.settlements.pop(pool, None)
+            state.write_states.pop(pool, None)
 
 
 def flush(board, now: float) -> None:
     """Copy the own accounts to their keepers before the process stops."""
     board.bills.copied_at = now
-    for keeper in board.bills.keepers:
-        for send in _copies_for(board, keeper):
+    for backup_host in board.bills.backup_hosts:
+        for send in _make_copy_sends(board, backup_host):
             send(now)
 
 
 def store_answered(event: base.StoreAnswered, board, now: float) -> bool:
     """Apply a store answer; return whether it belongs to billing."""
-    return settlement.store_answered(event, board, now)
+    return bill_writes.store_answered(event, board, now)
 
 
 @base.receive.register
 def receive_copy(message: accounts.AccountCopy, board, host: str, now: float) -> None:
     """Merge a copy of an account; tell the sender if it is folded."""
-    held = board.bills.pools.setdefault(message.pool, accounts.PoolAccounts())
+    pool_accounts = board.bills.pools.setdefault(message.pool, accounts.PoolAccounts())
     try:
-        merged = held.merge(accounts.join_copy(message))
+        merged = pool_accounts.merge(accounts.join_copy(message))
     except IndexError:
         board.count("billing_copies_malformed")
         return
@@ -210,8 +210,8 @@
 @base.receive.register
 def receive_folded(message: FoldedNotice, board, host: str, now: float) -> None:
     """Drop accounts that the writer has folded."""
-    held = board.bills.pools.get(message.pool)
-    if held is None:
+    pool_accounts = board.bills.pools.get(message.pool)
+    if pool_accounts is None:
         return
     own = _own_key(board)
     if message.host == own[0] and message.incarnation >= own[1]:
@@ -220,16 +220,16 @@
         board.log(logs.LogEvent.ACCOUNT_FOLDED_EARLY, pool=message.pool)
         board.count("accounts_folded_early")
         return
-    for key in list(held.open):
+    for key in list(pool_accounts.open):
         if key[0] == message.host and key[1] <= message.incarnation:
-            del held.open[key]
+            del pool_accounts.open[key]
 
 
 def _own_key(board) -> tuple[str, int]:
     return (board.identity.host, board.identity.incarnation)
 
 
-def _follow_hosts(board, now: float) -> None:
+def _update_hosts(board, now: float) -> None:
     """Choose keepers and writers if hosts or pools changed since the last choice."""
     state = board.bills
     key = (board.membership.version, len(board.hosts))
@@ -260,11 +260,11 @@
         seeds.append(item)
         (near if row.place == place else far).append(item)
     key = rendezvous.make_seed(f"keepers/{own}")
-    keepers = rendezvous.rank(key, far, KEEPERS)
-    if len(keepers) < KEEPERS:
-        keepers += rendezvous.rank(key, near, KEEPERS - len(keepers))
-    state.keepers = tuple(keepers)
-    for key in [key for key in state.copied if key[0] not in state.keepers]:
+    backup_hosts = rendezvous.rank(key, far, BACKUP_HOSTS)
+    if len(backup_hosts) < BACKUP_HOSTS:
+        backup_hosts += rendezvous.rank(key, near, BACKUP_HOSTS - len(backup_hosts))
+    state.backup_hosts = tuple(backup_hosts)
+    for key in [key for key in state.copied if key[0] not in state.backup_hosts]:
         del state.copied[key]
     state.writers = {
         pool: rendezvous.rank(rendezvous.make_seed(pool), seeds, 1)[0]
@@ -280,41 +280,47 @@
     """
     state = board.bills
     sends = [
-        send for pool in sorted(state.pools) for send in _reports(board, pool, now)
+        send
+        for pool in sorted(state.pools)
+        for send in _make_report_sends(board, pool, now)
     ]
     sends += [
-        send for keeper in state.keepers[:1] for send in _copies_for(board, keeper)
+        send
+        for backup_host in state.backup_hosts[:1]
+        for send in _make_copy_sends(board, backup_host)
     ]
     board.random.shuffle(sends)
     sends += [
-        send for keeper in state.keepers[1:] for send in _copies_for(board, keeper)
+        send
+        for backup_host in state.backup_hosts[1:]
+        for send in _make_copy_sends(board, backup_host)
     ]
     for send in sends:
         send(now)
 
 
-def _copies_for(board, keeper: str) -> list[Callable[[float], None]]:
+def _make_copy_sends(board, backup_host: str) -> list[Callable[[float], None]]:
     """Return the sends of the parts that changed since their last copy."""
     state = board.bills
     own = _own_key(board)
 
     def send(key: tuple[str, str, int], part: accounts.AccountCopy, now: float):
-        if _send(board, keeper, part, now):
+        if _send(board, backup_host, part, now):
             state.copied[key] = part
 
     sends = []
-    for pool, held in sorted(state.pools.items()):
-        if own not in held.open:
+    for pool, pool_accounts in sorted(state.pools.items()):
+        if own not in pool_accounts.open:
             continue
-        parts = accounts.split_account(held.export(pool, *own))
+        parts = accounts.split_account(pool_accounts.export(pool, *own))
         for number, part in enumerate(parts):
-            key = (keeper, pool, number)
+            key = (backup_host, pool, number)
             if state.copied.get(key) != part:
                 sends.append(functools.partial(send, key, part))
     return sends
 
 
-def _reports(board, pool: str, now: float) -> list[Callable[[float], None]]:
+def _make_report_sends(board, pool: str, now: float) -> list[Callable[[float], None]]:
     """Return the sends to the writer of a pool that are due.
 
     They hold the own account, and copies of accounts whose nodes are gone.
@@ -325,15 +331,21 @@
         return []
     senders = len(shares.serving_hosts(board, pool)) if pool in board.pools else 1
     period = max(PERIOD_SECONDS, senders / WRITER_REPORTS_PER_SECOND)
-    held = state.pools[pool]
+    pool_accounts = state.pools[pool]
     own = _own_key(board)
     sends = []
-    if own in held.open and _is_due(state.reported_at, pool, period, now):
-        sends += _report(board, pool, own, state.reported_at)
-    keys = [key for key in sorted(held.open) if key != own and not _runs(board, key)]
+    if own in pool_accounts.open and _is_due(state.reported_at, pool, period, now):
+        sends += _make_account_sends(board, pool, own, state.reported_at)
+    keys = [
+        key
+        for key in sorted(pool_accounts.open)
+        if key != own and not _reports_itself(board, key)
+    ]
     if keys and _is_due(state.relayed_at, pool, min(period, RELAY_SECONDS), now):
         turn = state.relayed[pool] = state.relayed.get(pool, 0) + 1
-        sends += _report(board, pool, keys[turn % len(keys)], state.relayed_at)
+        sends += _make_account_sends(
+            board, pool, keys[turn % len(keys)], state.relayed_at
+        )
     return sends
 
 
@@ -341,7 +353,7 @@
     return now - times.get(pool, float("-inf")) >= period - shares.ROUNDING_SECONDS
 
 
-def _report(
+def _make_account_sends(
     board, pool: str, key: tuple[str, int], times: dict[str, float]
 ) -> list[Callable[[float], None]]:
     writer = board.bills.writers[pool]
@@ -355,7 +367,7 @@
     return [functools.partial(send, part) for part in parts]
 
 
-def _runs(board, key: tuple[str, int]) -> bool:
+def _reports_itself(board, key: tuple[str, int]) -> bool:
     """Return whether the node of an account reports it to the writer itself."""
     row = board.hosts.get(key[0])
     return row is not None and row.state.value == "alive" and row.incarnation <= key[1]
--- a/hyssopshelf/scheduling/limits.py
+++ b/hyssopshelf/scheduling/limits.py
@@ -68,7 +68,7 @@
     ``Ok`` must be followed by one :func:`release` when the statement ends.
     """
     view = board.pools.get(pool)
-    if view is None or rank not in view.ranks or not _uses(view, partner):
+    if view is None or rank not in view.ranks or not _is_declared(view, partner):
         return result.Err(
             work.Refusal(reason=UNDECLARED, retry_after_seconds=IDLE_SECONDS)
         )
@@ -124,7 +124,9 @@
     limit.decreased_at = now
     # A full queue is caused by the rank itself. A slow queue may be caused by
     # less urgent work that holds the slots, so that work is limited first.
-    victim = limit if refused else _least_urgent(board, view, (pool, partner, rank))
+    victim = (
+        limit if refused else _find_least_urgent(board, view, (pool, partner, rank))
+    )
     # Starting from the outstanding statements makes the first cut effective
     # when the limit is far above the traffic.
     victim.maximum = max(
@@ -147,11 +149,11 @@
         del state.limits[key]
 
 
-def _uses(view, partner: str) -> bool:
+def _is_declared(view, partner: str) -> bool:
     return partner in view.capacity or any(other == partner for other, _ in view.kinds)
 
 
-def _least_urgent(board, view, key: Key) -> Limit:
+def _find_least_urgent(board, view, key: Key) -> Limit:
     """Return the limit of the partner's least urgent rank that can shrink.
 
     Ranks that are more urgent than that of ``key`` are left out.
--- a/hyssopshelf/scheduling/shares.py
+++ b/hyssopshelf/scheduling/shares.py
@@ -135,7 +135,7 @@
     if state is None:
         return {}
     total = dict(state.slots_used)
-    for peer in _fresh_peers(state, now):
+    for peer in _recent_peers(state, now):
         report = peer.report
         pairs = [(p, r) for p in report.partners for r in report.ranks]
         for key, milli_slots in zip(pairs, report.milli_slots, strict=False):
@@ -160,7 +160,7 @@
             del state.pools[name]
     _average_usage(board, elapsed)
     for name in sorted(state.pools):
-        _correct(board, name, elapsed, now)
+        _update_corrections(board, name, elapsed, now)
     for name in board.random.sample(sorted(state.pools), len(state.pools)):
         _send_reports(board, name, now)
 
@@ -210,7 +210,7 @@
         usage.slots_used[partner, rank] = average + weight * (sample - average)
 
 
-def _fresh_peers(state: PoolUsage, now: float) -> list[PeerUsage]:
+def _recent_peers(state: PoolUsage, now: float) -> list[PeerUsage]:
     for host in [
         host
         for host, peer in state.peers.items()
@@ -220,7 +220,7 @@
     return list(state.peers.values())
 
 
-def _correct(board, pool: str, elapsed: float, now: float) -> None:
+def _update_corrections(board, pool: str, elapsed: float, now: float) -> None:
     """Move the factors towards the shares of the partners that wait."""
     state = board.usage.pools[pool]
     view = board.pools[pool]
@@ -228,7 +228,7 @@
     for (partner, _), slots in fleet_usage(board, pool, now).items():
         used[partner] = used.get(partner, 0.0) + slots
     waiting = dict(state.waiting)
-    for peer in _fresh_peers(state, now):
+    for peer in _recent_peers(state, now):
         report = peer.report
         for partner, percent in zip(report.partners, report.waiting, strict=False):
             waiting[partner] = max(waiting.get(partner, 0.0), percent / 100.0)
@@ -260,7 +260,7 @@
             queue.corrections = state.corrections
 
 
-def _report(board, pool: str) -> UsageReport:
+def _make_report(board, pool: str) -> UsageReport:
     state = board.usage.pools[pool]
     partners = tuple(sorted(set(state.waiting) | {p for p, _ in state.slots_used}))
     ranks = tuple(sorted({rank for _, rank in state.slots_used}))
@@ -288,7 +288,7 @@
     peers = [host for host in state.hosts if host != board.identity.host]
     if not peers:
         return
-    report = _report(board, pool)
+    report = _make_report(board, pool)
     size = encoded_bytes(board, report)
     for _ in peers:
         if not state.unsent:
--- a/hyssopshelf/scheduling/tests/test_billing.py
+++ b/hyssopshelf/scheduling/tests/test_billing.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from hyssopshelf import base, platform
-from hyssopshelf.scheduling import accounts, billing, settlement
+from hyssopshelf.scheduling import accounts, bill_writes, billing
 from hyssopshelf.scheduling.tests import test_shares
 
 HOSTS = ("h1", "h2", "h3", "h4", "h5")
@@ -40,9 +40,9 @@
         return None if entry is None else accounts.decode_bill(entry.value)
 
     def total(self):
-        held = accounts.PoolAccounts()
-        held.adopt(self.bill())
-        return sum(held.total().values())
+        pool_accounts = accounts.PoolAccounts()
+        pool_accounts.adopt(self.bill())
+        return sum(pool_accounts.total().values())
 
 
 class Fleet:
@@ -152,7 +152,7 @@
         fleet.restart("h2")
         sizes.append(len(fleet.store.bill().accounts))
     fleet.run(600, step_seconds=1.0)
-    assert max(sizes) <= 2 + settlement.SUPERSEDED_SECONDS / 60
+    assert max(sizes) <= 2 + bill_writes.SUPERSEDED_SECONDS / 60
     assert len(fleet.store.bill().accounts) <= 1
     assert len(fleet.store.bill().folded) == 1
     assert fleet.store.total() == pytest.approx(fleet.served)
@@ -204,16 +204,20 @@
 
 def test_account_of_a_vanished_host_is_folded_after_a_day_of_writes():
     """Guards against accounts of replaced host names that pile up."""
-    held = accounts.PoolAccounts()
-    held.merge(make_account("gone", 1.0))
-    for number in range(accounts.LATE_WRITES + 2):
-        held.merge(make_account("stays", float(number)))
-        quiet = {key for key in held.open if key[0] == "gone" and held.is_quiet(*key)}
-        assert not quiet or number > accounts.LATE_WRITES
-        held.adopt(held.draft("p", quiet, {"stays"}))
-    assert [host for host, _ in held.open] == ["stays"]
-    assert not held.merge(make_account("gone", 2.0))
-    assert held.closed == {("a", "urgent"): 1.0}
+    pool_accounts = accounts.PoolAccounts()
+    pool_accounts.merge(make_account("gone", 1.0))
+    for number in range(accounts.RETENTION_WRITES + 2):
+        pool_accounts.merge(make_account("stays", float(number)))
+        unchanged = {
+            key
+            for key in pool_accounts.open
+            if key[0] == "gone" and pool_accounts.is_unchanged(*key)
+        }
+        assert not unchanged or number > accounts.RETENTION_WRITES
+        pool_accounts.adopt(pool_accounts.draft("p", unchanged, {"stays"}))
+    assert [host for host, _ in pool_accounts.open] == ["stays"]
+    assert not pool_accounts.merge(make_account("gone", 2.0))
+    assert pool_accounts.closed == {("a", "urgent"): 1.0}
 
 
 def test_document_of_the_largest_pool_fits_into_the_store():
