--- a/hyssopshelf/scheduling/budgets.py
+++ b/hyssopshelf/scheduling/budgets.py
@@ -1,33 +1,33 @@
-"""Token buckets for retries and for the bytes of control messages."""
+"""Token buckets that bound retries and the bytes of control messages."""
 
 import attrs
 
 DEPOSIT_PER_REQUEST = 0.1
-"""Retries earned by a request, so that retries add at most 10% of load."""
+"""Tokens that each request deposits; retries then add at most 10% of load."""
 
 MAXIMUM_RETRY_TOKENS = 10.0
-"""Largest number of saved retries; it bounds the burst after an outage."""
+"""Capacity of the bucket; it bounds the burst of retries after an outage."""
 
 
 @attrs.define(kw_only=True)
 class RetryBudget:
-    """Retries that one hop may still send.
+    """Bounds the retries of one hop to a fraction of its requests.
 
     Attributes
     ----------
     tokens : float
-        Retries saved; full at the start, so that a node that has just
-        started can ride out a single fault.
+        Retries available. The bucket starts full, so that a node that has
+        just started can retry through a single fault.
     """
 
     tokens: float = MAXIMUM_RETRY_TOKENS
 
     def deposit(self, now: float) -> None:
-        """Add the part of a retry that a request earns."""
+        """Add the tokens of one request."""
         self.tokens = min(MAXIMUM_RETRY_TOKENS, self.tokens + DEPOSIT_PER_REQUEST)
 
     def try_withdraw(self, now: float) -> bool:
-        """Take one retry; return False if none is left."""
+        """Withdraw one retry; return False if none is available."""
         if self.tokens < 1.0 - 1e-9:
             return False
         self.tokens = max(0.0, self.tokens - 1.0)
@@ -36,12 +36,12 @@
 
 @attrs.define(kw_only=True)
 class ByteBudget:
-    """Bytes of control messages that a node may still send.
+    """Bounds the rate at which a node sends bytes of control messages.
 
     Attributes
     ----------
     bytes_per_second : float
-        Rate at which bytes are earned; one second of them can be saved.
+        Refill rate; the capacity is the refill of one second.
     """
 
     bytes_per_second: float
@@ -49,7 +49,7 @@
     _refilled_at: float | None = attrs.field(default=None, init=False)
 
     def try_take(self, size: int, now: float) -> bool:
-        """Take ``size`` bytes; return False if they are not there."""
+        """Take ``size`` bytes; return False if fewer are available."""
         if self._refilled_at is None:
             self._bytes = self.bytes_per_second
         else:
--- a/hyssopshelf/scheduling/limits.py
+++ b/hyssopshelf/scheduling/limits.py
@@ -1,4 +1,8 @@
-"""Adaptive limits on outstanding statements at the entry node."""
+"""Adaptive concurrency limits on outstanding statements at the entry node.
+
+Each limit belongs to one partner and rank of a pool. It grows additively and
+decreases multiplicatively (AIMD) on the overload that serving nodes report.
+"""
 
 import attrs
 import result
@@ -9,15 +13,15 @@
 MAXIMUM_LIMIT = 1024.0
 
 MINIMUM_LIMIT = 4.0
-"""Statements that are always let through, so that a limited rank keeps work
-waiting at the serving nodes for its floor and the limit can recover."""
+"""Statements that are always admitted. A limited rank then still has work
+waiting at the serving nodes to use its floor, and its limit can recover."""
 
 DECREASE_FACTOR = 0.7
-"""Factor on a limit after a signal of overload."""
+"""Factor applied to a limit on a signal of overload."""
 
 MINIMUM_ROUND_SECONDS = 0.1
-"""Least time between two cuts. Answers that were under way when a limit was cut
-still report the old overload; counting them again would collapse the limit."""
+"""Minimum time between two decreases. Answers in flight at a decrease still report
+the old overload; counting them again would collapse the limit."""
 
 IDLE_SECONDS = 60.0
 """Time without traffic after which the state of a limit is dropped."""
@@ -28,18 +32,18 @@
 
 @attrs.define(kw_only=True)
 class Limit:
-    """Outstanding statements of one partner and rank in a pool.
+    """Limit on the outstanding statements of one partner and rank in a pool.
 
     Attributes
     ----------
     largest : float
-        Statements that may be outstanding.
+        Number of statements that may be outstanding.
     outstanding : int
         Statements admitted and not yet released.
     cut_at, used_at : float
-        Time of the last cut and of the last statement or answer.
+        Times of the last decrease and of the last statement or answer.
     queueing_seconds : float
-        Moving average of the time in the queue that answers report.
+        Moving average of the queueing time that answers report.
     """
 
     maximum: float = INITIAL_LIMIT
@@ -54,7 +58,7 @@
 
 @attrs.define(kw_only=True)
 class LimitState:
-    """All limits of an entry node, by pool, partner and rank."""
+    """Limits of an entry node by pool, partner and rank."""
 
     limits: dict[Key, Limit] = attrs.field(factory=dict)
     pruned_at: float = float("-inf")
@@ -65,7 +69,8 @@
 ) -> result.Result[None, work.Refusal]:
     """Count a statement as outstanding or refuse it.
 
-    ``Ok`` must be followed by one :func:`release` when the statement ends.
+    After ``Ok`` the caller must call :func:`release` once when the statement
+    ends.
     """
     view = board.pools.get(pool)
     if view is None or rank not in view.ranks or not _is_declared(view, partner):
@@ -83,7 +88,7 @@
 
 
 def release(board, pool: str, partner: str, rank: str, now: float) -> None:
-    """Count an admitted statement as ended."""
+    """Count an admitted statement as no longer outstanding."""
     limit = board.admission.limits.get((pool, partner, rank))
     if limit is not None:
         limit.outstanding = max(0, limit.outstanding - 1)
@@ -101,9 +106,9 @@
 ) -> None:
     """Adapt a limit to the answer of a serving node.
 
-    A refusal, or an average time in the queue above the target of the rank, is
-    a signal of overload: the limit shrinks by a factor. Any other answer lets
-    it grow by about one statement for each full round of outstanding ones.
+    A refusal, or an average queueing time above the target of the rank, is a
+    signal of overload and decreases a limit by a factor. Any other answer
+    increases it, by about one statement for each full round of outstanding ones.
     """
     view = board.pools.get(pool)
     limit = board.admission.limits.get((pool, partner, rank))
@@ -111,7 +116,7 @@
         return
     limit.used_at = now
     if not refused:
-        # Refused work did not wait; its 0 would hide the wait of the rest.
+        # Refused work reports a queueing time of 0, which would lower the average.
         limit.queueing_seconds += 0.1 * (queueing_seconds - limit.queueing_seconds)
     target = view.ranks[rank].target_seconds
     if not refused and limit.queueing_seconds <= target:
@@ -122,13 +127,13 @@
     if now - limit.decreased_at < round_seconds:
         return
     limit.decreased_at = now
-    # A full queue is caused by the rank itself. A slow queue may be caused by
-    # less urgent work that holds the slots, so that work is limited first.
+    # A full queue is caused by the rank itself. A slow queue can be caused by
+    # less urgent work that occupies the slots, so that work is limited first.
     victim = (
         limit if refused else _find_least_urgent(board, view, (pool, partner, rank))
     )
-    # Starting from the outstanding statements makes the first cut effective
-    # when the limit is far above the traffic.
+    # The decrease starts from the outstanding statements, so that it is
+    # effective even if the limit is far above the traffic.
     victim.maximum = max(
         MINIMUM_LIMIT, min(victim.maximum, max(victim.outstanding, 1)) * DECREASE_FACTOR
     )
@@ -136,7 +141,7 @@
 
 
 def step(board, now: float) -> None:
-    """Drop the state of limits that are not in use."""
+    """Drop the state of limits that are no longer in use."""
     state = board.admission
     if now - state.pruned_at < 1.0:
         return
@@ -154,9 +159,9 @@
 
 
 def _find_least_urgent(board, view, key: Key) -> Limit:
-    """Return the limit of the partner's least urgent rank that can shrink.
+    """Return the limit of the partner's least urgent rank that can be decreased.
 
-    Ranks that are more urgent than that of ``key`` are left out.
+    Only ranks less urgent than that of ``key`` and that rank itself qualify.
     """
     pool, partner, rank = key
     order = view.ranks[rank].order
--- a/hyssopshelf/scheduling/queues.py
+++ b/hyssopshelf/scheduling/queues.py
@@ -1,4 +1,4 @@
-"""The queue of one endpoint at its serving node."""
+"""Scheduling queue of one endpoint at the node that serves it."""
 
 import collections
 
@@ -20,7 +20,17 @@
 
 @attrs.define(kw_only=True)
 class Flow:
-    """Waiting work of one partner and rank, oldest first."""
+    """Waiting work of one partner and rank, oldest first.
+
+    Attributes
+    ----------
+    in_transaction : OrderedDict of str to Work
+        Statements of open transactions by id.
+    new : OrderedDict of str to Work
+        All other work by id.
+    estimate : ServiceEstimate
+        Slot time and interval of recent work.
+    """
 
     in_transaction: collections.OrderedDict[str, work.Work] = attrs.field(
         factory=collections.OrderedDict
@@ -35,7 +45,7 @@
         return len(self.in_transaction) + len(self.new)
 
     def queue_of(self, item: work.Work) -> collections.OrderedDict[str, work.Work]:
-        """Return the line of open transactions or that of new work."""
+        """Return the queue of open transactions or that of new work."""
         return self.in_transaction if item.in_transaction else self.new
 
 
@@ -45,10 +55,13 @@
 
     Attributes
     ----------
+    item : Work
+        The work.
     charge : Charge
         Service charged for it.
     previous_start : (float, float)
-        Start state of the estimate before it, for work that is put back.
+        Start state of the estimate before the work started. It is restored if
+        the work is requeued.
     """
 
     item: work.Work
@@ -58,13 +71,13 @@
 
 @attrs.define(kw_only=True)
 class EndpointQueue:
-    """Order of service at one endpoint.
+    """Queues work for one endpoint and decides the order of service.
 
-    Statements of open transactions go first. Then the most urgent rank goes
-    first, within the partner shares and the rank floors that
-    :class:`service.ServiceClocks` keeps. Work is charged its estimated slot
-    time at the start, its elapsed time while it runs longer, and its real slot
-    time at the end.
+    Statements of open transactions are served first, then the most urgent rank
+    within the partner shares and rank floors that
+    :class:`service.ServiceClocks` enforces. Work is charged its estimated slot
+    time when it starts, its elapsed time once it exceeds the estimate, and its
+    actual slot time when it finishes.
 
     Attributes
     ----------
@@ -73,8 +86,8 @@
     pool : str
         Pool of the endpoint.
     corrections : dict of str to float
-        Factor on the share of a partner that evens out its service elsewhere
-        in the fleet; 1 if absent.
+        Factor on the share of each partner that compensates for the service
+        it gets at other nodes; 1 if absent.
     """
 
     endpoint: str
@@ -92,29 +105,32 @@
     def admit(
         self, item: work.Work, view: views.PoolView, now: float, *, held: int = 0
     ) -> result.Result[tuple[work.Work, ...], work.Refusal]:
-        """Add work to the queue.
+        """Add work to the queue, refuse it, or shed other work for it.
 
         Parameters
         ----------
         held : int
-            Open connections, which can be more than the view allows after the
-            allowance became smaller; each may carry a transaction.
+            Open connections. They can exceed the limit of the view after the
+            limit was lowered, and each may carry a transaction.
 
         Returns
         -------
         Ok(tuple of Work)
-            The work was added; the tuple holds work that was shed for it.
+            The work was added; the tuple holds the work that was shed to make
+            room for it.
         Err(Refusal)
             The work was not added.
 
         Raises
         ------
         InvariantError
-            If work with the same id waits or runs. A refusal would tell the
-            caller that the statement did not run.
+            If work with the same id is waiting or running. A refusal would
+            wrongly tell the caller that the statement did not run.
         """
         if item.id in self._waiting or item.id in self._running:
-            raise exceptions.InvariantError(f"work {item.id} is queued twice")
+            raise exceptions.InvariantError(
+                f"work {item.id} is already queued or running"
+            )
         self._use_view(view)
         if item.rank not in view.ranks or item.partner not in self._partners:
             return _refuse(UNDECLARED, MAXIMUM_RETRY_SECONDS)
@@ -137,10 +153,10 @@
     def take(
         self, view: views.PoolView, now: float, *, include_new: bool = True
     ) -> work.Work | None:
-        """Start the next work if a slot is free; return None otherwise.
+        """Start the next work and return it, or None if none can start.
 
-        Without ``include_new`` only statements of open transactions are started; they
-        hold a connection already.
+        Without ``include_new`` only statements of open transactions are started,
+        as they already hold a connection.
         """
         self._use_view(view)
         if len(self._running) >= view.slots or not self._waiting:
@@ -170,7 +186,10 @@
         return item
 
     def requeue(self, item: work.Work) -> None:
-        """Return work that was taken but could not start to the queue."""
+        """Put work that was taken but could not start at the head of its queue.
+
+        Its charge and the recorded start are undone.
+        """
         running = self._running.pop(item.id, None)
         if running is not None:
             self._adjust_charge(running.charge, 0.0)
@@ -185,7 +204,10 @@
             flow.estimate.undo_start(running.previous_start)
 
     def finish(self, work_id: str, now: float) -> float:
-        """Release the slot of a work item and return its slot time in seconds."""
+        """Release the slot of a work item and return its slot time in seconds.
+
+        The result is 0 if the work does not run here.
+        """
         running = self._running.pop(work_id, None)
         if running is None:
             return 0.0
@@ -205,7 +227,7 @@
         return late
 
     def discard(self, work_id: str) -> bool:
-        """Remove waiting work; return whether it was waiting."""
+        """Remove work that is waiting; return whether it was found."""
         item = self._waiting.get(work_id)
         if item is None:
             return False
@@ -231,7 +253,8 @@
         self, item: work.Work, flow: Flow, connections: int, now: float
     ) -> result.Result[tuple[work.Work, ...], work.Refusal]:
         # An open transaction holds a connection and runs one statement at a
-        # time, so the connections bound these statements, not the queue limit.
+        # time, so the number of connections bounds these statements; the queue
+        # limit does not apply.
         if item.deadline <= now + flow.estimate.estimate_minimum(now):
             return _refuse(DEADLINE_TOO_CLOSE, MINIMUM_RETRY_SECONDS)
         if (
@@ -245,11 +268,12 @@
     def _shed_for(
         self, item: work.Work, view: views.PoolView, now: float
     ) -> tuple[work.Work, ...]:
-        """Remove the waiting work of the rank that is worth least, if any.
+        """Shed waiting work of the same rank to make room for ``item``.
 
-        Work that cannot meet its deadline is worth nothing. Otherwise the
-        newest work of the partner furthest above its part of the queue goes,
-        if the partner of ``item`` is within its own part.
+        Work that cannot meet its deadline is shed first. Otherwise the newest
+        work of the partner that exceeds its part of the queue the most is shed,
+        provided that the partner of ``item`` is below its own part. Return the
+        work that was removed, which can be none.
         """
         backlogs = {
             partner: flow.new
@@ -282,8 +306,8 @@
     def _expected_wait(
         self, item: work.Work, flow: Flow, view: views.PoolView, now: float
     ) -> float:
-        # Work behind fewer items than there are slots is always tried, so that
-        # the estimates keep getting samples.
+        # Work with fewer items ahead of it than there are slots is always
+        # accepted, so that the estimates keep receiving samples.
         if len(flow) < view.slots:
             return 0.0
         floor = view.ranks[item.rank].floor
@@ -323,7 +347,7 @@
         self._clocks.adjust_charge(charge, seconds, share, self._view)
 
     def _use_view(self, view: views.PoolView) -> None:
-        """Take over a view; a new one drops state of removed partners and ranks."""
+        """Switch to ``view``; drop the state of partners and ranks that it removed."""
         if view is self._view:
             return
         self._view = view
--- a/hyssopshelf/scheduling/service.py
+++ b/hyssopshelf/scheduling/service.py
@@ -1,47 +1,47 @@
-"""Virtual clocks that decide which partner and rank an endpoint serves next."""
+"""Virtual clocks that select the partner and rank that an endpoint serves next."""
 
 import attrs
 
 from hyssopshelf.configuration import resources, views
 
 PARTNER_WINDOW_SECONDS = 1.0
-"""Lead of a partner's clock up to which the most urgent rank goes first whatever
-partner it belongs to. Shares hold over seconds; with 0.25 s one long background
-statement of a partner made its urgent work wait for up to 0.5 s."""
+"""Lead of a partner's clock up to which the most urgent rank is served first,
+regardless of the partner. Shares hold over seconds; with 0.25 s one long background
+statement of a partner delayed its urgent work by up to 0.5 s."""
 
 RANK_WINDOW_SECONDS = 0.25
-"""Service that a rank may take ahead of its floor without giving up the claim to
-it later. It bounds the urgent burst that no floor slows down."""
+"""Maximum lead of a rank's clock over the total clock. Service beyond it does not
+count against the floor later. It bounds the urgent burst that no floor delays."""
 
 FLOOR_LAG_SECONDS = 0.25
-"""Service that a rank with waiting work must be behind its floor before it goes
-ahead of more urgent work. At 0.05 to 0.1 s, ranks within their floors overtook
-urgent work so often that its p99 in a background flood rose by up to 0.4."""
+"""Lag of a rank behind its floor at which it is served before more urgent work. At
+0.05 to 0.1 s, ranks within their floors overtook urgent work so often that its p99
+in a background flood rose by up to 0.4."""
 
 FLOOD_SECONDS = 1.0
-"""Service during which a rank has work waiting without a break before it counts
-as flooding."""
+"""Service during which a rank must have waiting work without interruption before
+it counts as flooding."""
 
 IDLE_CREDIT_SECONDS = 0.5
-"""Service that a rank without waiting work saves up against a more urgent rank
-that floods. Without it a rank that uses three quarters of its floor waits as at
-a slow server: half its work for over 0.1 s, and the entry limits refuse some.
-While nothing more urgent floods, urgent work must not wait for such claims."""
+"""Credit that a rank gets for idle time while a more urgent rank floods. Without it
+a rank that uses three quarters of its floor waits as on a slow server: half its
+work for over 0.1 s, and the entry limits refuse some. No credit is given while nothing more urgent
+floods, as urgent work would wait for it."""
 
 MAXIMUM_LAG_SECONDS = 1.0
-"""Largest service that a rank may be owed. A floor that only a partner beyond
-its share could use would otherwise build up a claim without bound."""
+"""Maximum lag of a rank behind its floor. Without it the lag would grow without
+bound if only a partner beyond its share has work of the rank."""
 
 MINIMUM_SHARE = 0.001
-"""Share of a partner that the split does not name; a share divides, so it
-must not be 0."""
+"""Share used for a partner that the split does not name. Slot time is divided by
+the share, so it must not be 0."""
 
 UNDECLARED_RANK = resources.RankSpec(order=1_000_000, floor=0.0)
-"""Stands for a rank that was removed while its work was waiting."""
+"""Specification of a rank that was removed while its work was waiting."""
 
 
 def rank_spec(view: views.PoolView, rank: str) -> resources.RankSpec:
-    """Return the declaration of a rank, the least urgent one if removed."""
+    """Return the specification of a rank; a removed rank is the least urgent."""
     return view.ranks.get(rank, UNDECLARED_RANK)
 
 
@@ -52,14 +52,15 @@
     Attributes
     ----------
     partner, rank : str
-        Whose work it is.
-    owed : bool
-        Whether it runs because its rank was behind its floor. Only such
-        service counts in full; lent service must not turn into a debt.
+        Partner and rank of the work.
+    behind_floor : bool
+        Whether the rank was behind its floor when the work started. Only then
+        is the service charged in full to the clock of the rank; otherwise use
+        of idle capacity would count against the floor later.
     seconds : float
         Slot time charged so far.
     rank_seconds : float
-        Part of it that was charged to the clock of the rank.
+        Part of ``seconds`` that was charged to the clock of the rank.
     """
 
     partner: str
@@ -73,21 +74,22 @@
 class ServiceClocks:
     """Start-time fair queueing over partners, with rank floors.
 
-    A partner's clock advances by slot time divided by its share and the slots,
-    so all clocks advance like the wall clock when every partner gets its share.
-    A rank's clock does the same with the floor, against the total service.
+    The clock of a partner advances by slot time divided by its share and the
+    number of slots, so all clocks advance at the rate of real time when every
+    partner gets its share. The clock of a rank advances in the same way with its
+    floor and is compared with the total service.
 
     Attributes
     ----------
     partner_clocks, rank_clocks : dict of str to float
         Clock of each partner and rank, in seconds.
     start_clock : float
-        Largest partner clock at which work was started; partners whose
-        queue was empty resume here, so that idle time gives no claim.
+        Highest partner clock at which work was started. Partners whose queue
+        was empty resume here, so that idle time earns no credit.
     total_clock : float
-        Service of the endpoint, in seconds of all its slots.
+        Service of the endpoint, in seconds during which all its slots are used.
     waiting_since : dict of str to float
-        Total clock at which each rank last began to have waiting work.
+        Total clock at which the queue of each rank last became non-empty.
     """
 
     partner_clocks: dict[str, float] = attrs.field(factory=dict)
@@ -97,14 +99,15 @@
     waiting_since: dict[str, float] = attrs.field(factory=dict)
 
     def resume_partner(self, partner: str) -> None:
-        """Bring the clock of a partner up to date whose queue was empty."""
+        """Advance the clock of a partner whose queue was empty to the start clock."""
         clock = self.partner_clocks.get(partner, self.start_clock)
         self.partner_clocks[partner] = max(clock, self.start_clock)
 
     def resume_rank(self, rank: str, waiting: set[str], view: views.PoolView) -> None:
-        """Bring the clock of a rank up to date whose queue was empty.
+        """Advance the clock of a rank whose queue was empty to the total clock.
 
-        ``waiting`` holds the ranks that have waiting work.
+        The clock stays behind by the idle credit if a more urgent rank of
+        ``waiting``, the ranks that have waiting work, floods.
         """
         order = rank_spec(view, rank).order
         flooded = any(
@@ -122,10 +125,10 @@
     ) -> tuple[str, str]:
         """Return the (partner, rank) to serve among those with waiting work.
 
-        Ranks behind their floors go first, the most urgent of them before the
-        others; then the most urgent rank. Within a rank the partner with the
-        lowest clock is served, but if it is more than the window ahead of
-        another partner with waiting work, that one is served.
+        The most urgent rank behind its floor is chosen, or the most urgent rank
+        if none is. Within it the partner with the lowest clock is served. If that
+        clock is more than the window ahead of the lowest clock of any partner
+        with waiting work, the partner with the lowest clock is served instead.
         """
         chosen = self._choose_rank(flows, view)
         partner = self._choose_partner(flow for flow in flows if flow[1] == chosen)
@@ -137,7 +140,7 @@
         return behind, self._choose_rank(own, view)
 
     def start(self, partner: str, rank: str, view: views.PoolView) -> Charge:
-        """Return the charge of work that is about to start."""
+        """Return a new charge for work that is about to start."""
         self.start_clock = max(self.start_clock, self.partner_clocks[partner])
         return Charge(
             partner=partner, rank=rank, behind_floor=self._is_behind_floor(rank, view)
@@ -146,7 +149,7 @@
     def adjust_charge(
         self, charge: Charge, seconds: float, share: float, view: views.PoolView
     ) -> None:
-        """Change the slot time charged for a work item to ``seconds``."""
+        """Set the slot time charged for a work item to ``seconds``."""
         change = seconds - charge.seconds
         charge.seconds = seconds
         if change == 0.0:
@@ -163,7 +166,7 @@
             self._adjust_rank_charge(charge, change, floor * slots)
 
     def forget(self, partners: set[str], ranks: set[str]) -> None:
-        """Drop the clocks of all partners and ranks but the given ones."""
+        """Drop the clocks of all partners and ranks except the given ones."""
         for name in self.partner_clocks.keys() - partners:
             del self.partner_clocks[name]
         for name in self.rank_clocks.keys() - ranks:
@@ -192,8 +195,8 @@
 
     def _choose_rank(self, flows: list[tuple[str, str]], view: views.PoolView) -> str:
         ranks = {rank for _, rank in flows}
-        # Floors add up to at most 1, so an owed rank that is more urgent cannot
-        # keep a less urgent one from its floor.
+        # Floors add up to at most 1, so a more urgent rank behind its floor
+        # cannot keep a less urgent one from its own floor.
         behind_floor = {rank for rank in ranks if self._is_behind_floor(rank, view)}
         return min(
             behind_floor or ranks, key=lambda rank: (rank_spec(view, rank).order, rank)
--- a/hyssopshelf/scheduling/shares.py
+++ b/hyssopshelf/scheduling/shares.py
@@ -1,9 +1,9 @@
 """Partner shares across the serving nodes of a pool.
 
-Serving nodes tell each other the slot time that each partner and rank recently
-used and which partners had to wait. Each node changes the weights of its own
-queues until the partners that wait get their shares of the pool's whole
-service. See docs/scheduling.md.
+Serving nodes exchange the recent slot time of each partner and rank and how much
+each partner had to wait. Each node adjusts the partner weights of its own queues
+until the backlogged partners get their shares of the pool's total service. See
+docs/scheduling.md.
 """
 
 import math
@@ -15,39 +15,39 @@
 
 PERIOD_SECONDS = 1.0
 ROUNDING_SECONDS = 1e-6
-"""Slack for sums of ticks that fall short of a period by rounding."""
+"""Tolerance for sums of ticks that fall short of a period by rounding errors."""
 
 SMOOTHING_SECONDS = 5.0
 """Time constant of the usage averages; shares hold over seconds to minutes."""
 
 BYTES_PER_SECOND = 400.0
-"""Part of the 1 KB/s that scheduling may send; billing has the rest."""
+"""Part of the scheduling budget of 1 KB/s; billing has the rest."""
 
 STALE_SECONDS = 30.0
-"""Age at which the report of a peer is dropped. In a pool with more peers than
-fit into the byte budget, the reports of this time are a random sample."""
+"""Age at which the report of a peer is dropped. If a pool has more peers than the
+byte budget covers, the reports kept are a random sample of them."""
 
 PEERS_REFRESH_SECONDS = 5.0
 
 WAITING_FRACTION = 0.3
-"""Part of the time with waiting work above which a partner wants more service."""
+"""Fraction of time with waiting work from which a partner counts as backlogged."""
 
 MINIMUM_WAITING = 1e-4
-"""Average below which the entry of a partner is dropped."""
+"""Average waiting fraction below which the entry of a partner is dropped."""
 
 GAIN_PER_SECOND = 0.15
-"""Speed of the correction. With the averages' delay of 5 s it settles in about
-20 s without overshooting by more than the share tolerance."""
+"""Gain of the correction loop. With the averaging delay of 5 s it converges in
+about 20 s without overshooting by more than the share tolerance."""
 
 MAXIMUM_CORRECTION = 4.0
-"""Bound of a factor and its inverse. It keeps a part of each endpoint for a
-partner that gets its share elsewhere, as its work here may be urgent."""
+"""Bound of a correction and of its inverse. A partner that gets its share at other
+endpoints keeps part of each endpoint, as its work here may be urgent."""
 
 
 @messages.register("scheduling.usage")
 @attrs.frozen(kw_only=True)
 class UsageReport:
-    """Recent usage of a pool at one serving node.
+    """Report of the recent usage of a pool at one serving node.
 
     Attributes
     ----------
@@ -70,7 +70,7 @@
 
 @attrs.define(kw_only=True)
 class PeerUsage:
-    """The last report of a peer and the time at which it arrived."""
+    """Last report of a peer and the time at which it was received."""
 
     report: UsageReport
     received_at: float
@@ -78,20 +78,23 @@
 
 @attrs.define(kw_only=True)
 class PoolUsage:
-    """Usage of one pool.
+    """Usage of one pool, as known at this node.
 
     Attributes
     ----------
     slots_used : dict of (str, str) to float
-        Own average slots in use by partner and rank.
+        Moving average of the slots in use at this node by partner and rank.
     waiting : dict of str to float
-        Own average part of the time with waiting work, by partner.
+        Moving average of the fraction of time with waiting work at this node,
+        by partner.
     peers : dict of str to PeerUsage
         Last report by host.
-    factors : dict of str to float
-        Correction of the share of each partner at this node.
+    corrections : dict of str to float
+        Factor on the share of each partner at this node.
     unsent : list of str
-        Peers that did not yet get a report in this turn.
+        Peers that were not sent a report in the current cycle.
+    hosts : tuple of str
+        Hosts that serve the pool.
     """
 
     slots_used: dict[tuple[str, str], float] = attrs.field(factory=dict)
@@ -105,9 +108,10 @@
 
 @attrs.define(kw_only=True)
 class UsageState:
-    """Usage of all pools that the node serves or heard of.
+    """Usage of the pools that the node serves.
 
-    ``counted`` holds slot seconds by pool, partner and rank since the start.
+    ``counted`` holds the slot seconds by pool, partner and rank since the start,
+    ``averaged`` their values at the last average.
     """
 
     pools: dict[str, PoolUsage] = attrs.field(factory=dict)
@@ -123,14 +127,14 @@
 def record_usage(
     board, pool: str, partner: str, rank: str, slot_seconds: float
 ) -> None:
-    """Count slot time that a statement used at this node."""
+    """Count slot time, in seconds, that a statement used at this node."""
     key = (pool, partner, rank)
     counted = board.usage.counted
     counted[key] = counted.get(key, 0.0) + slot_seconds
 
 
 def fleet_usage(board, pool: str, now: float) -> dict[tuple[str, str], float]:
-    """Return the slots in use in a pool by partner and rank, as known here."""
+    """Return the slots in use in a pool by partner and rank, as known at this node."""
     state = board.usage.pools.get(pool)
     if state is None:
         return {}
@@ -144,7 +148,7 @@
 
 
 def step(board, now: float) -> None:
-    """Sample waiting work; once a second average, correct and report."""
+    """Sample waiting work; once a second update averages, corrections and reports."""
     state = board.usage
     _sample_waiting(board, now)
     if state.averaged_at is None:
@@ -167,7 +171,7 @@
 
 @base.receive.register
 def receive_usage(message: UsageReport, board, host: str, now: float) -> None:
-    """Keep the usage report of a peer for a pool that this node serves."""
+    """Store the usage report of a peer if this node serves the pool."""
     state = board.usage.pools.get(message.pool)
     if state is not None:
         state.peers[host] = PeerUsage(report=message, received_at=now)
@@ -221,7 +225,7 @@
 
 
 def _update_corrections(board, pool: str, elapsed: float, now: float) -> None:
-    """Move the factors towards the shares of the partners that wait."""
+    """Adjust the corrections towards the shares of the backlogged partners."""
     state = board.usage.pools[pool]
     view = board.pools[pool]
     used: dict[str, float] = dict.fromkeys(view.capacity, 0.0)
@@ -278,7 +282,7 @@
 
 
 def _send_reports(board, pool: str, now: float) -> None:
-    """Send the report to as many peers as the byte budget allows."""
+    """Send the usage report to as many peers as the byte budget allows."""
     state = board.usage.pools[pool]
     if now - state.hosts_read_at >= PEERS_REFRESH_SECONDS:
         state.hosts_read_at = now
@@ -310,7 +314,7 @@
 
 
 def encoded_bytes(board, message: object) -> int:
-    """Return the size of a message on the wire, in bytes."""
+    """Return the encoded size of a message with its envelope, in bytes."""
     identity = board.identity
     envelope = messages.Envelope(
         host=identity.host, address=identity.address, message=message
--- a/hyssopshelf/scheduling/work.py
+++ b/hyssopshelf/scheduling/work.py
@@ -1,28 +1,28 @@
-"""A unit of work that waits for or holds a slot of an endpoint."""
+"""Work items of the scheduler and the refusal of one."""
 
 import attrs
 
 
 @attrs.define(kw_only=True)
 class Work:
-    """A statement at its serving node, as the scheduler sees it.
+    """A statement that waits for or holds a slot of an endpoint.
 
     Attributes
     ----------
     id : str
-        Id of the forwarded request.
+        Identifier of the forwarded request.
     partner, rank, kind : str
-        Whose work it is.
+        Partner, rank and kind that the work is scheduled and billed under.
     deadline : float
-        Time on the node's clock after which it must not start.
+        Time on the node's clock, in seconds, after which it must not start.
     enqueued_at : float
         Time at which it entered the queue.
     in_transaction : bool
-        True if it belongs to an open transaction; it holds a connection.
+        Whether it belongs to an open transaction and so holds a connection.
     estimated_seconds : float
-        Expected slot time, 0 if unknown.
+        Expected slot time; 0 if unknown.
     started_at : float or None
-        Time at which it took a slot.
+        Time at which it took a slot; None while it waits.
     """
 
     id: str
@@ -38,14 +38,14 @@
 
 @attrs.frozen(kw_only=True)
 class Refusal:
-    """Work was refused before it ran.
+    """Reason why work was refused before it ran, with a retry hint.
 
     Attributes
     ----------
     reason : str
-        Why.
+        Explanation for the caller.
     retry_after_seconds : float
-        Time after which a repeat may be accepted.
+        Time after which a retry may be accepted.
     """
 
     reason: str
