--- a/hyssopshelf/scheduling/__init__.py
+++ b/hyssopshelf/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Order of service at an endpoint, partner shares, admission limits and billing."""
+"""Queue scheduling at endpoints, partner shares, admission limits and billing."""
--- a/hyssopshelf/scheduling/accounts.py
+++ b/hyssopshelf/scheduling/accounts.py
@@ -1,4 +1,4 @@
-"""Slot time accounts and the document that holds the bill of a pool."""
+"""Slot time accounts and the bill document of a pool, with its stored form."""
 
 import json
 import zlib
@@ -8,14 +8,14 @@
 from hyssopshelf import exceptions, messages
 
 RETENTION_WRITES = 1440
-"""Writes of the document, a day at one a minute, for which the account of a host
-that is gone is kept open after its last change, and for which the mark of such
-a host is kept after its account was folded. Counting writes needs no clock
-that hosts share, and goes on when another host becomes the writer."""
+"""Writes of the document (a day at one a minute) for which the account of a host
+that is gone stays open after its last change, and for which the mark of such a
+host is kept after its account was folded. A count of writes needs no clock shared
+between hosts and continues when another host becomes the writer."""
 
 MAXIMUM_PART_AMOUNTS = 12
-"""Amounts in one message. A message then stays below half of the byte budget of a
-second, so that large accounts cannot exceed it forever."""
+"""Maximum number of amounts in one message. A message then takes less than half of
+the byte budget of a second, so large accounts cannot exceed it permanently."""
 
 Amounts = dict[tuple[str, str], float]
 """Slot seconds by partner and rank."""
@@ -25,18 +25,18 @@
 class Account:
     """Slot time that one incarnation of a host has served in a pool.
 
-    Amounts only grow, so two copies merge by the maximum of each.
+    Amounts only grow, so two copies are merged by the maximum of each amount.
 
     Attributes
     ----------
     pool, host : str
-        Whose account it is.
+        Pool and host of the account.
     incarnation : int
         Incarnation of the node on the host.
     amounts : tuple of (str, str, float)
         Partner, rank and slot seconds.
     changed : int
-        In a document: its sequence when the amounts last changed.
+        In a document, its sequence when the amounts last changed.
     """
 
     pool: str
@@ -49,12 +49,12 @@
 @messages.register("scheduling.account")
 @attrs.frozen(kw_only=True)
 class AccountCopy:
-    """A part of an account, as it is sent to another node.
+    """Part of an account in the form that is sent to another node.
 
     Attributes
     ----------
     names : tuple of str
-        Names of partners and ranks, each sent once to save bytes.
+        Names of partners and ranks; each is sent once to save bytes.
     amounts : tuple of (int, int, float)
         Indexes of partner and rank in ``names``, and slot seconds.
     """
@@ -68,9 +68,9 @@
 
 @attrs.frozen(kw_only=True)
 class Folded:
-    """Mark that all incarnations of a host up to one are in the closed sum.
+    """Mark that the closed sum includes a host's incarnations up to this one.
 
-    ``sequence`` is the document's sequence at which it was set.
+    ``sequence`` is the document's sequence when the mark was set.
     """
 
     host: str
@@ -85,14 +85,14 @@
     Attributes
     ----------
     sequence : int
-        Raised by one with each write.
+        Number of the document; each write increases it by one.
     closed : tuple of (str, str, float)
         Sum of all folded accounts.
     accounts : tuple of Account
         Accounts that can still grow.
     folded : tuple of Folded
-        Incarnations whose accounts are in ``closed``; late copies of them
-        are ignored, as they would count twice.
+        Incarnations whose accounts are included in ``closed``. Late copies of
+        them are ignored, as they would be counted twice.
     """
 
     pool: str
@@ -104,14 +104,14 @@
 
 @attrs.define(kw_only=True)
 class PoolAccounts:
-    """Accounts of a pool in memory.
+    """Accounts of a pool that a node holds in memory.
 
     Attributes
     ----------
     open : dict of (str, int) to Amounts
-        Accounts by host and incarnation.
+        Open accounts by host and incarnation.
     closed : Amounts
-        Closed sum of the last document read or written.
+        Closed sum of the last document that was read or written.
     folded : dict of str to Folded
         Marks of that document by host.
     stored : dict of (str, int) to Account
@@ -127,12 +127,12 @@
     sequence: int = 0
 
     def is_folded(self, host: str, incarnation: int) -> bool:
-        """Return whether an account is part of the closed sum."""
+        """Return whether the closed sum includes an account."""
         mark = self.folded.get(host)
         return mark is not None and incarnation <= mark.incarnation
 
     def merge(self, account: Account) -> bool:
-        """Merge a copy of an account; return False if it is folded already."""
+        """Merge a copy of an account; return False if it was already folded."""
         if self.is_folded(account.host, account.incarnation):
             return False
         amounts = self.open.setdefault((account.host, account.incarnation), {})
@@ -142,7 +142,7 @@
         return True
 
     def adopt(self, bill: Bill) -> None:
-        """Take over a document that the store holds."""
+        """Adopt a document read from the store and merge its open accounts."""
         self.sequence = bill.sequence
         self.closed = {(p, r): seconds for p, r, seconds in bill.closed}
         self.folded = {mark.host: mark for mark in bill.folded}
@@ -153,7 +153,7 @@
             self.merge(account)
 
     def export(self, pool: str, host: str, incarnation: int) -> Account:
-        """Return an account in the form that is sent and stored."""
+        """Return an open account in the form that is sent and stored."""
         amounts = self.open[host, incarnation]
         return Account(
             pool=pool,
@@ -163,7 +163,7 @@
         )
 
     def is_unchanged(self, host: str, incarnation: int) -> bool:
-        """Return whether an account did not change for a day of writes."""
+        """Return whether an account has not changed for ``RETENTION_WRITES`` writes."""
         row = self.stored.get((host, incarnation))
         return (
             row is not None
@@ -172,16 +172,16 @@
         )
 
     def draft(self, pool: str, ended: set[tuple[str, int]], present: set[str]) -> Bill:
-        """Return the next document without changing the state in memory.
+        """Build the next document without changing the state in memory.
 
         Parameters
         ----------
         pool : str
             Name of the pool.
         ended : set of (str, int)
-            Incarnations that can no longer grow; they are folded.
+            Incarnations whose accounts can no longer grow and are folded.
         present : set of str
-            Hosts whose marks have to stay.
+            Hosts whose marks must be kept.
         """
         sequence = self.sequence + 1
         last: dict[str, int] = {}
@@ -227,7 +227,7 @@
 
 
 def split_account(account: Account) -> tuple[AccountCopy, ...]:
-    """Return an account in parts that each fit into one message."""
+    """Split an account into parts that each fit into one message."""
     return tuple(
         _copy_part(account, account.amounts[start : start + MAXIMUM_PART_AMOUNTS])
         for start in range(0, len(account.amounts), MAXIMUM_PART_AMOUNTS)
@@ -235,12 +235,12 @@
 
 
 def join_copy(copy: AccountCopy) -> Account:
-    """Return the account that a copy holds.
+    """Convert a received copy to an account.
 
     Raises
     ------
     IndexError
-        If an amount refers to a name that the copy does not hold.
+        If an amount refers to a name that is not in the copy.
     """
     return Account(
         pool=copy.pool,
@@ -262,16 +262,16 @@
 
 
 def encode_bill(bill: Bill) -> bytes:
-    """Return the stored form of a bill, compressed JSON.
+    """Encode a bill as compressed JSON for the store.
 
-    Without compression the field names of several thousand accounts would
-    exceed the store's limit of 1 MB for a value.
+    Uncompressed, the field names of several thousand accounts would exceed the
+    store's value limit of 1 MB.
     """
     return zlib.compress(json.dumps(messages.unstructure(bill)).encode())
 
 
 def decode_bill(data: bytes) -> Bill:
-    """Return the bill of its stored form.
+    """Decode a bill from its stored form.
 
     Raises
     ------
--- a/hyssopshelf/scheduling/bill_writes.py
+++ b/hyssopshelf/scheduling/bill_writes.py
@@ -1,10 +1,10 @@
 """Writes of the bill documents to the platform's store.
 
-The writer of a pool keeps the document's revision and writes by
-compare-and-swap. Merging is idempotent and folding happens only inside the
-document, so after a lost answer the writer reads the document back and merges
-again: it neither loses slot time nor counts it twice. Two nodes that both
-believe they are the writer only repeat each other's work.
+The writer of a pool keeps the document's revision and writes it by
+compare-and-swap. Merging is idempotent and accounts are folded only within the
+document. After a lost answer the writer reads the document back and merges again,
+so slot time is neither lost nor counted twice. Two nodes that both consider
+themselves the writer only duplicate work.
 """
 
 import attrs
@@ -18,11 +18,11 @@
 MAXIMUM_RETRY_SECONDS = 60.0
 
 ANSWER_SECONDS = 10.0
-"""Time after which a call without an answer counts as lost."""
+"""Time after which a call without an answer is treated as failed."""
 
 SUPERSEDED_SECONDS = 300.0
-"""Time for late copies of an account to arrive after a newer incarnation of its
-host was seen, before the account is folded."""
+"""Time between the first sight of a newer incarnation of a host and the folding of
+the older account, in which late copies of the account can arrive."""
 
 
 @attrs.define(kw_only=True)
@@ -32,15 +32,15 @@
     Attributes
     ----------
     call_id : str
-        Call whose answer is awaited, empty if none.
+        Identifier of the pending call; empty if none.
     is_write : bool
-        Whether that call is the compare-and-swap.
+        Whether the pending call is the compare-and-swap.
     revision : int or None
-        Revision of the document in the store; None if it must be read.
+        Revision of the stored document; None if it must be read first.
     next_at : float
         Time of the next call.
     written : Bill or None
-        Document of the last or pending write.
+        Document of the last or the pending write.
     superseded_since : dict of (str, int) to float
         Time at which a newer incarnation of the host was first seen.
     """
@@ -56,7 +56,7 @@
 
 
 def write(board, pool: str, now: float) -> None:
-    """Read or write the bill of a pool if it is time."""
+    """Read or write the bill of a pool if a call is due."""
     state = board.bills.write_states.setdefault(pool, BillWriteState())
     pool_accounts = board.bills.pools.setdefault(pool, accounts.PoolAccounts())
     if state.call_id:
@@ -85,7 +85,7 @@
 
 
 def store_answered(event: base.StoreAnswered, board, now: float) -> bool:
-    """Apply a store answer; return whether it belongs to a bill."""
+    """Apply a store answer; return whether it belongs to a bill write or read."""
     for pool, state in board.bills.write_states.items():
         if state.call_id == event.call_id:
             _apply(event, board, state, pool, now)
@@ -107,7 +107,7 @@
     try:
         document = _decode(entry, pool)
     except exceptions.CodecError:
-        # Overwriting a document that cannot be read would lose the bill.
+        # An unreadable document is not overwritten, as the bill would be lost.
         board.log(logs.LogEvent.BILL_UNREADABLE, pool=pool)
         state.revision = None
         state.next_at = now + PERIOD_SECONDS
@@ -136,7 +136,7 @@
 
 
 def _fail(board, state: BillWriteState, pool: str, now: float) -> None:
-    """Forget what the store holds; the next call reads it back."""
+    """Record a failed call; the next call reads the document again."""
     board.log(
         logs.LogEvent.BILL_OUTCOME_UNKNOWN, pool=pool, retry_seconds=state.retry_seconds
     )
@@ -158,7 +158,7 @@
 def _find_ended(
     board, state: BillWriteState, pool: str, now: float
 ) -> set[tuple[str, int]]:
-    """Return the incarnations that can no longer grow."""
+    """Return the incarnations whose accounts can no longer grow."""
     pool_accounts = board.bills.pools[pool]
     newest = {host: row.incarnation for host, row in board.hosts.items()}
     for host, incarnation in [*pool_accounts.open, _own_key(board)]:
--- a/hyssopshelf/scheduling/billing.py
+++ b/hyssopshelf/scheduling/billing.py
@@ -1,4 +1,4 @@
-"""Slot time accounts of the nodes, their exchange and the bill."""
+"""Exchange of slot time accounts between nodes, and the bill of a pool."""
 
 import functools
 from collections.abc import Callable
@@ -10,28 +10,28 @@
 from hyssopshelf.scheduling import accounts, bill_writes, budgets, shares
 
 PERIOD_SECONDS = 1.0
-"""Time between two copies of the own accounts to their keepers; a node that dies
-loses at most the slot time of this time and of one message."""
+"""Time between two copies of a node's own accounts to its backup hosts. A node that
+fails loses at most the slot time of this period and of one message."""
 
 BACKUP_HOSTS = 2
-"""Peers that hold copies of a node's own accounts."""
+"""Number of peers that hold copies of a node's own accounts."""
 
 WRITER_REPORTS_PER_SECOND = 8
-"""Reports that the writer of a pool gets from the pool's hosts in a second. Hosts
+"""Reports per second that the writer of a pool receives from the pool's hosts. Hosts
 of larger pools report less often, so the writer's traffic stays bounded."""
 
 RELAY_SECONDS = 30.0
-"""Longest time between two relayed copies of accounts whose nodes are gone. It
-leaves several turns before the writer folds such an account."""
+"""Maximum time between two relayed copies of accounts whose nodes are gone. It
+allows several copies before the writer folds such an account."""
 
 HOSTS_REFRESH_SECONDS = 10.0
 
 HOSTS_REVIEW_SECONDS = 60.0
-"""Time after which keepers and writers are chosen anew even if no host changed.
-At the target size a choice takes about 2 ms for each pool."""
+"""Time after which backup hosts and writers are chosen again even if no host
+changed. At the target size a choice takes about 2 ms for each pool."""
 
 BYTES_PER_SECOND = 600.0
-"""Part of the 1 KB/s that scheduling may send; the usage exchange has the rest."""
+"""Part of the scheduling budget of 1 KB/s; the usage exchange has the rest."""
 
 _LIVE = (records.HostState.ALIVE, records.HostState.SUSPECT)
 
@@ -39,7 +39,7 @@
 @messages.register("scheduling.folded")
 @attrs.frozen(kw_only=True)
 class FoldedNotice:
-    """The account of a host and its older ones are in the closed sum."""
+    """Notice that the accounts of a host up to an incarnation have been folded."""
 
     pool: str
     host: str
@@ -48,25 +48,25 @@
 
 @attrs.define(kw_only=True)
 class BillingState:
-    """Accounts that a node holds: its own, copies for peers, and as a writer.
+    """Accounts that a node holds: its own, copies for peers, and those it writes.
 
     Attributes
     ----------
     pools : dict of str to PoolAccounts
         Accounts by pool.
     write_states : dict of str to BillWriteState
-        State of the writes to the store, by pool that this node writes.
+        State of the store writes, by pool whose bill this node writes.
     backup_hosts : tuple of str
         Peers that hold copies of the own accounts.
     writers : dict of str to str
         Host that writes the bill, by pool.
     copied : dict of (str, str, int) to AccountCopy
-        Last copy sent by keeper, pool and number of the part.
+        Last copy sent, by backup host, pool and number of the part.
     reported_at, relayed_at : dict of str to float
-        Time of the last report of the own account and of the last relayed
+        Times of the last report of the own account and of the last relayed
         copy to the writer, by pool.
     relayed : dict of str to int
-        Number of copies relayed, to take turns among them, by pool.
+        Number of copies relayed by pool, for round-robin selection.
     """
 
     pools: dict[str, accounts.PoolAccounts] = attrs.field(factory=dict)
@@ -88,7 +88,7 @@
 
 @attrs.frozen(kw_only=True)
 class BillLine:
-    """The part of one partner and rank in the bill of a pool.
+    """Line of a pool's bill for one partner and rank.
 
     Attributes
     ----------
@@ -97,7 +97,7 @@
     used_share : float
         Part of the pool's whole slot time, 0 to 1.
     agreed_share : float
-        Share of the bill that the split agrees for the partner, 0 to 1.
+        Share of the bill that the agreed split assigns to the partner, 0 to 1.
     """
 
     partner: str
@@ -118,20 +118,20 @@
 def total(board, pool: str) -> accounts.Amounts:
     """Return the slot seconds of a pool by partner and rank, as known here.
 
-    The writer of the pool knows all accounts; another node knows its own and
-    those that it keeps copies of.
+    The writer of the pool knows all accounts; other nodes know their own and
+    those of which they hold copies.
     """
     pool_accounts = board.bills.pools.get(pool)
     return pool_accounts.total() if pool_accounts is not None else {}
 
 
 def bill(board, pool: str) -> tuple[BillLine, ...]:
-    """Return the bill of a pool by partner and rank, as known here."""
+    """Return the bill of a pool by partner and rank, as known at this node."""
     return bill_of_amounts(board, pool, total(board, pool))
 
 
 def bill_of_document(board, pool: str, data: bytes) -> tuple[BillLine, ...]:
-    """Return the bill of a stored document; any node can read it.
+    """Return the bill of a stored document, which any node can compute.
 
     Raises
     ------
@@ -146,7 +146,7 @@
 def bill_of_amounts(
     board, pool: str, amounts: accounts.Amounts
 ) -> tuple[BillLine, ...]:
-    """Return the lines of a bill with the agreed shares of the split in force."""
+    """Return the bill lines of ``amounts`` with the agreed shares in force."""
     view = board.pools.get(pool)
     agreed = view.bill if view is not None else {}
     whole = sum(amounts.values())
@@ -163,7 +163,7 @@
 
 
 def step(board, now: float) -> None:
-    """Copy the own accounts to keepers, report to writers, write bills."""
+    """Copy the own accounts to backup hosts, report to writers and write bills."""
     state = board.bills
     if now - state.hosts_read_at >= HOSTS_REFRESH_SECONDS:
         state.hosts_read_at = now
@@ -179,7 +179,7 @@
 
 
 def flush(board, now: float) -> None:
-    """Copy the own accounts to their keepers before the process stops."""
+    """Copy the own accounts to the backup hosts before the process stops."""
     board.bills.copied_at = now
     for backup_host in board.bills.backup_hosts:
         for send in _make_copy_sends(board, backup_host):
@@ -193,7 +193,7 @@
 
 @base.receive.register
 def receive_copy(message: accounts.AccountCopy, board, host: str, now: float) -> None:
-    """Merge a copy of an account; tell the sender if it is folded."""
+    """Merge a copy of an account; notify the sender if it was already folded."""
     pool_accounts = board.bills.pools.setdefault(message.pool, accounts.PoolAccounts())
     try:
         merged = pool_accounts.merge(accounts.join_copy(message))
@@ -215,8 +215,8 @@
         return
     own = _own_key(board)
     if message.host == own[0] and message.incarnation >= own[1]:
-        # The writer took this node for dead for a day. Its later slot time
-        # cannot be added without counting the folded part twice.
+        # The writer considered this node dead for a day. Slot time added later
+        # cannot be billed without counting the folded part twice.
         board.log(logs.LogEvent.ACCOUNT_FOLDED_EARLY, pool=message.pool)
         board.count("accounts_folded_early")
         return
@@ -230,7 +230,7 @@
 
 
 def _update_hosts(board, now: float) -> None:
-    """Choose keepers and writers if hosts or pools changed since the last choice."""
+    """Choose backup hosts and writers again if hosts or pools changed."""
     state = board.bills
     key = (board.membership.version, len(board.hosts))
     recent = now - state.chosen_at < HOSTS_REVIEW_SECONDS
@@ -243,11 +243,11 @@
 
 
 def _choose_hosts(board) -> None:
-    """Choose the keepers of the own accounts and the writer of each pool.
+    """Choose the backup hosts of the own accounts and the writer of each pool.
 
-    Keepers in other places are preferred, as the hosts of a place may fail
-    together. Suspected hosts count as live: most suspicions are refuted, and
-    only a death tells that the choice may have to change.
+    Backup hosts in other places are preferred, as the hosts of a place may fail
+    together. Suspected hosts count as live, since most suspicions are refuted and
+    only a confirmed failure requires another choice.
     """
     state = board.bills
     own, place = board.identity.host, board.identity.place
@@ -273,10 +273,10 @@
 
 
 def _send_copies(board, now: float) -> None:
-    """Send copies to the keepers and the writers within the byte budget.
+    """Send copies to the backup hosts and the writers within the byte budget.
 
-    The first keeper and the writers come in random order, so that none of them
-    is left out for long when the budget does not suffice for all.
+    The first backup host and the writers come in random order, so that none is
+    starved if the budget does not cover all of them.
     """
     state = board.bills
     sends = [
@@ -300,7 +300,7 @@
 
 
 def _make_copy_sends(board, backup_host: str) -> list[Callable[[float], None]]:
-    """Return the sends of the parts that changed since their last copy."""
+    """Return callables that send the parts that changed since their last copy."""
     state = board.bills
     own = _own_key(board)
 
@@ -321,9 +321,9 @@
 
 
 def _make_report_sends(board, pool: str, now: float) -> list[Callable[[float], None]]:
-    """Return the sends to the writer of a pool that are due.
+    """Return callables that send the reports due to the writer of a pool.
 
-    They hold the own account, and copies of accounts whose nodes are gone.
+    The reports hold the own account and copies of accounts whose nodes are gone.
     """
     state = board.bills
     writer = state.writers.get(pool, board.identity.host)
--- a/hyssopshelf/scheduling/estimates.py
+++ b/hyssopshelf/scheduling/estimates.py
@@ -26,7 +26,7 @@
     ----------
     mean_seconds : float
         Moving average of the slot time.
-    quick_seconds : float
+    minimum_seconds : float
         Estimated lower bound of the slot time of nearly all work.
     interval_seconds : float
         Moving average of the time between two starts while work waited.
--- a/hyssopshelf/scheduling/limits.py
+++ b/hyssopshelf/scheduling/limits.py
@@ -40,7 +40,7 @@
         Number of statements that may be outstanding.
     outstanding : int
         Statements admitted and not yet released.
-    cut_at, used_at : float
+    decreased_at, used_at : float
         Times of the last decrease and of the last statement or answer.
     queueing_seconds : float
         Moving average of the queueing time that answers report.
--- a/hyssopshelf/scheduling/service.py
+++ b/hyssopshelf/scheduling/service.py
@@ -25,16 +25,16 @@
 IDLE_CREDIT_SECONDS = 0.5
 """Credit that a rank gets for idle time while a more urgent rank floods. Without it
 a rank that uses three quarters of its floor waits as on a slow server: half its
-work for over 0.1 s, and the entry limits refuse some. No credit is given while nothing more urgent
-floods, as urgent work would wait for it."""
+work for over 0.1 s, and the entry limits refuse some. No credit is given while
+nothing more urgent floods, as urgent work would wait for it."""
 
 MAXIMUM_LAG_SECONDS = 1.0
 """Maximum lag of a rank behind its floor. Without it the lag would grow without
 bound if only a partner beyond its share has work of the rank."""
 
 MINIMUM_SHARE = 0.001
-"""Share used for a partner that the split does not name. Slot time is divided by
-the share, so it must not be 0."""
+"""Lower bound of a share, used for a partner that the split does not name. Slot time
+is divided by the share, so it must not be 0."""
 
 UNDECLARED_RANK = resources.RankSpec(order=1_000_000, floor=0.0)
 """Specification of a rank that was removed while its work was waiting."""
