--- a/hyssopshelf/clocks.py
+++ b/hyssopshelf/clocks.py
@@ -1,4 +1,4 @@
-"""The clock that bounds the age of beliefs."""
+"""Clock for deadlines and for the expiry of time-limited state."""
 
 import time
 
@@ -6,9 +6,9 @@
 
 
 def read_clock() -> float:
-    """Return seconds since the host's start, time in suspension included.
+    """Return the seconds since the host booted, including time in suspension.
 
-    The monotonic clock stands still while the host is suspended; a belief that
-    is timed by it would outlive its deadline.
+    The monotonic clock stops while the host is suspended, so state timed by it
+    would remain valid past its deadline.
     """
     return time.clock_gettime(_CLOCK)
--- a/hyssopshelf/exceptions.py
+++ b/hyssopshelf/exceptions.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the table from kind to answer."""
+"""Error kinds of answers, what each means to a caller, and the exceptions."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class ErrorKind(enum.Enum):
-    """Every kind of error that an answer can carry."""
+    """Kinds of error that an answer can carry; the list is closed."""
 
     NOT_RUN = "not_run"
     OUTCOME_UNKNOWN = "outcome_unknown"
@@ -37,7 +37,7 @@
 
 @attrs.frozen(kw_only=True)
 class Disposition:
-    """What an error kind means to a caller.
+    """Consequences of an error kind for a caller.
 
     Attributes
     ----------
@@ -46,7 +46,7 @@
     ran : Ran
         Whether the statement ran.
     repeatable : bool
-        Whether the same request may be sent again as it is.
+        Whether the caller may retry the same request unchanged.
     """
 
     http_status: int
@@ -89,7 +89,7 @@
 
 
 class InvariantError(HyssopshelfError):
-    """An invariant of the core does not hold; the statement must not go on."""
+    """An invariant of the core is violated; the statement must not continue."""
 
 
 class CodecError(HyssopshelfError):
@@ -101,14 +101,14 @@
 
 
 class ValidationError(HyssopshelfError):
-    """A declared resource breaks a rule.
+    """A declared resource violates a validation rule.
 
     Parameters
     ----------
     field : str
         Path of the field, such as ``spec.capacity.steyrtal``.
     rule : str
-        The rule that the value breaks.
+        Rule that the value violates.
     """
 
     def __init__(self, field: str, rule: str) -> None:
@@ -127,7 +127,7 @@
     message : str
         Explanation for the caller.
     retry_after_seconds : float
-        Time after which a repeat may succeed, 0 if unknown.
+        Time after which a retry may succeed; 0 if unknown.
     """
 
     def __init__(
@@ -140,5 +140,5 @@
 
     @property
     def disposition(self) -> Disposition:
-        """Return what the error means to a caller."""
+        """Return the consequences of the error for a caller."""
         return DISPOSITIONS[self.kind]
--- a/hyssopshelf/logs.py
+++ b/hyssopshelf/logs.py
@@ -1,4 +1,4 @@
-"""Numbered log events; docs/EVENTS.md is their catalogue."""
+"""Numbered log events and their output; docs/EVENTS.md lists the events."""
 
 import atexit
 import enum
@@ -10,10 +10,10 @@
 import orjson
 
 MAXIMUM_BUFFERED_LINES = 1000
-"""Lines that are kept at most before they are written."""
+"""Maximum number of lines that are buffered before they are written."""
 
 MAXIMUM_UNWRITTEN_BYTES = 256 * 1024
-"""Bytes that a slow reader of the log leaves unwritten before lines are dropped."""
+"""Unwritten bytes above which lines are dropped because the reader is slow."""
 
 
 class LogEvent(enum.IntEnum):
@@ -114,20 +114,20 @@
 
 
 DETAIL_EVENTS = frozenset({LogEvent.STATEMENT_ANSWERED, LogEvent.CONNECTION_OPENED})
-"""Events of level DEBUG: they record no decision, and a line costs about as much
-processor time as the rest of the core's work on a statement."""
+"""Events of level DEBUG. They record no decision, and writing a line costs about as
+much processor time as all other work of the core on a statement."""
 
 
 class BufferedOutput:
-    """Collects lines and writes them together.
+    """Buffers lines and writes them together.
 
-    A write call for each line cost more than the line itself under load, so
-    lines are written when the buffer is flushed, at each tick and at the end.
+    Under load a write call for each line costs more than formatting the line, so
+    the buffer is flushed at each tick, when it is full and at exit.
 
     Parameters
     ----------
     stream : file object
-        Where the lines go.
+        Stream that receives the lines.
     """
 
     def __init__(self, *, stream) -> None:
@@ -139,13 +139,13 @@
         self._lines: list[str] = []
 
     def write(self, line: str) -> None:
-        """Keep a line; a full buffer is written at once."""
+        """Append a line to the buffer; flush the buffer if it is full."""
         self._lines.append(line)
         if len(self._lines) >= MAXIMUM_BUFFERED_LINES:
             self.flush()
 
     def flush(self) -> None:
-        """Write all lines."""
+        """Write all buffered lines."""
         if self._lines:
             text = "".join(self._lines)
             self._lines.clear()
@@ -154,14 +154,14 @@
 
 
 class PipeOutput:
-    """Writes lines to a descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without blocking on its reader.
 
-    Lines that the reader does not take in time are dropped and counted.
+    Lines that exceed the backlog of a slow reader are dropped and counted.
 
     Parameters
     ----------
     descriptor : int
-        File descriptor, set to non-blocking.
+        File descriptor in non-blocking mode.
     """
 
     def __init__(self, *, descriptor: int) -> None:
@@ -170,7 +170,7 @@
         self._rest = b""
 
     def write(self, text: str) -> None:
-        """Write whole lines or drop them."""
+        """Write ``text``; lines that cannot be buffered are dropped as a whole."""
         data = self._rest + text.encode()
         self._rest = b""
         try:
@@ -178,7 +178,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # A closed log must not stop the service.
+            # A closed log must not interrupt the service.
             self.dropped += data.count(b"\n")
             return
         rest = data[written:]
@@ -189,19 +189,25 @@
         self._rest = rest
 
     def flush(self) -> None:
-        """Do nothing; writes are never held back."""
+        """Do nothing, as writes are not deferred."""
 
 
 @attrs.define(kw_only=True)
 class LineBudget:
-    """Bounds the lines about requests.
+    """Token bucket that bounds the rate of log lines about requests.
 
     Attributes
     ----------
     rate : float
-        Lines a second in the long run.
+        Refill rate, in lines per second.
     burst : float
-        Lines that may come together.
+        Capacity, in lines.
+    available : float
+        Lines that may be written now.
+    refilled_at : float
+        Time of the last refill.
+    suppressed : int
+        Lines refused since the count was last collected.
     """
 
     rate: float
@@ -211,7 +217,7 @@
     suppressed: int = 0
 
     def try_take(self, now: float) -> bool:
-        """Return whether one more line may be written."""
+        """Take one line from the budget; return whether it may be written."""
         self.available = min(
             self.burst, self.available + (now - self.refilled_at) * self.rate
         )
@@ -234,11 +240,11 @@
     Parameters
     ----------
     form : str
-        ``json`` for one JSON object a line, ``text`` for readable lines.
+        ``json`` for one JSON object per line, ``text`` for plain text lines.
     level : str
         Lowest level to write, such as ``INFO``.
     """
-    # Loaded here, as structured logs do without it and should start fast.
+    # Imported here, as structured logs do not need it and should start quickly.
     from loguru import logger
 
     logger.remove()
@@ -259,12 +265,12 @@
 
 
 def configure_structured(*, source: str) -> None:
-    """Write one JSON object a line to standard output, without blocking.
+    """Write one JSON object per line to standard output, without blocking.
 
     Parameters
     ----------
     source : str
-        Name of the host, a field of each line.
+        Name of the host, included in each line.
     """
     os.set_blocking(1, False)
     _OUTPUT.stream = PipeOutput(descriptor=1)
@@ -274,21 +280,21 @@
 
 
 def write_request(event: LogEvent, fields: dict, success: bool = False) -> None:
-    """Write a line about a request, within the budget of its outcome."""
+    """Write a line about a request if the budget of its outcome allows it."""
     budget = _SUCCESSES if success else _FAILURES
     if budget.try_take(time.monotonic()):
         write(event, fields)
 
 
 def collect_suppressed() -> dict[str, int]:
-    """Return how many lines about requests were left out since the last call."""
+    """Return the numbers of suppressed request lines since the last call."""
     counts = {"successes": _SUCCESSES.suppressed, "failures": _FAILURES.suppressed}
     _SUCCESSES.suppressed = _FAILURES.suppressed = 0
     return counts
 
 
 def flush() -> None:
-    """Write all lines that are kept."""
+    """Write all buffered lines."""
     _OUTPUT.flush()
 
 
--- a/hyssopshelf/runtime/peers.py
+++ b/hyssopshelf/runtime/peers.py
@@ -1,9 +1,9 @@
-"""Messages between nodes over pynng.
+"""Transport of messages between nodes over pynng.
 
-Each node has one Pull0 inbox and one Push0 dialer for each peer that it sends
-to. The sockets are polled through their file descriptors on the event loop:
-on one core a message then cost 73 microseconds for both ends, against 326 with
-the asynchronous calls of pynng.
+Each node has one Pull0 inbox, and one Push0 dialer for each peer that it sends to.
+The sockets are polled through their file descriptors on the event loop: on one core
+a message then costs 73 microseconds for both ends, against 326 with the asynchronous
+calls of pynng.
 """
 
 import asyncio
@@ -15,30 +15,30 @@
 from hyssopshelf import base, exceptions, messages
 
 MAXIMUM_DIALERS = 512
-"""Dialers that are kept; the least recently used one is closed beyond."""
+"""Maximum number of open dialers; beyond it the least recently used is closed."""
 
 SEND_TIMEOUT_SECONDS = 1.0
-"""Time after which an unsent message is given up; it was certainly not sent."""
+"""Time after which a queued message is dropped; it is known not to be sent."""
 
 MAXIMUM_UNSENT = 1000
-"""Messages that wait for one peer at most."""
+"""Maximum number of messages queued for one peer."""
 
 MAXIMUM_BATCH_BYTES = 256 * 1024
-"""Bytes of the messages that travel together at most."""
+"""Maximum size of the messages that are sent as one batch."""
 
 RESET_SECONDS = 0.7
-"""Least age of a connection that is reset; opening one and an answer fit into it
-across regions and on a slow host."""
+"""Minimum age of a connection that is reset. Opening a connection and receiving an
+answer fit into it across regions and on a slow host."""
 
 RECONNECT_MILLISECONDS = 100
-"""First pause between attempts to reach a peer, in milliseconds."""
+"""Initial delay between connection attempts to a peer, in milliseconds."""
 
 MAXIMUM_RECONNECT_MILLISECONDS = 1000
-"""Longest pause between attempts to reach a peer, in milliseconds."""
+"""Maximum delay between connection attempts to a peer, in milliseconds."""
 
 
 class PeerTransport:
-    """Sends messages to peers and receives theirs.
+    """Sends messages to peers and receives messages from them.
 
     Parameters
     ----------
@@ -47,7 +47,7 @@
     address : str
         ``IP:port`` on which the inbox listens.
     emit : callable
-        Takes the events that the transport observes.
+        Called with each event of the transport.
     """
 
     def __init__(self, *, host: str, address: str, emit) -> None:
@@ -60,7 +60,7 @@
         self._dialers: collections.OrderedDict[str, Dialer] = collections.OrderedDict()
 
     def listen(self) -> None:
-        """Open the inbox."""
+        """Open the inbox and receive from it on the running event loop."""
         self._inbox = pynng.Pull0(
             listen=f"tcp://{self.address}",
             recv_max_size=messages.MAXIMUM_MESSAGE_BYTES,
@@ -70,7 +70,7 @@
         loop.add_reader(self._inbox.recv_fd, self._receive)
 
     def send(self, host: str, address: str, message) -> None:
-        """Send a message; emits PeerUnsent if it could not be sent."""
+        """Send a message; emit PeerUnsent if it cannot be sent."""
         envelope = messages.Envelope(
             host=self.host, address=self.address, message=message
         )
@@ -86,10 +86,10 @@
         dialer.send(host, message, data)
 
     def reset(self, address: str) -> None:
-        """Close the connection to a peer that does not answer; a send opens another.
+        """Close the connection to an unresponsive peer; the next send opens another.
 
-        After a partition an old connection waits for its next retransmission, or is
-        silent for good, while a new one works.
+        After a partition an old connection waits for its next retransmission, or
+        never recovers, while a new connection works.
         """
         loop = asyncio.get_running_loop()
         dialer = self._dialers.get(address)
@@ -145,7 +145,7 @@
 
 @attrs.frozen(kw_only=True)
 class Unsent:
-    """A message that waits to be sent."""
+    """Message queued for a peer."""
 
     deadline: float
     host: str
@@ -154,17 +154,17 @@
 
 
 class Dialer:
-    """The sending end towards one peer.
+    """Sends messages to one peer.
 
-    Messages of one turn of the event loop travel together, so that the cost of
-    a send is shared under load.
+    Messages of one event loop iteration are sent as a batch, which amortizes the
+    cost of a send under load.
 
     Parameters
     ----------
     address : str
         ``IP:port`` of the peer's inbox.
     emit : callable
-        Takes PeerUnsent events.
+        Called with PeerUnsent events.
     """
 
     def __init__(self, *, address: str, emit) -> None:
@@ -177,7 +177,7 @@
         self.opened_at = 0.0
 
     def open(self) -> None:
-        """Start to connect."""
+        """Start connecting to the peer in the background."""
         self.opened_at = asyncio.get_running_loop().time()
         self._socket = pynng.Push0(
             send_buffer_size=0,
@@ -187,7 +187,7 @@
         self._socket.dial(f"tcp://{self.address}", block=False)
 
     def send(self, host: str, message, data: bytes) -> None:
-        """Send a message in this turn or as soon as the peer can take it."""
+        """Queue a message; it is sent as soon as the peer can accept it."""
         if len(self._unsent) >= MAXIMUM_UNSENT:
             self._report(host, message)
             return
@@ -201,7 +201,7 @@
             loop.call_soon(self._flush)
 
     def close(self) -> None:
-        """Send what can be sent; the rest is reported as not sent."""
+        """Send what can be sent, report the rest as unsent and close the socket."""
         if self._socket is None:
             return
         self._flush()
--- a/hyssopshelf/runtime/tests/test_peers.py
+++ b/hyssopshelf/runtime/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of the messages between nodes over real sockets."""
+"""Tests of the peer transport over real sockets."""
 
 import asyncio
 
@@ -28,7 +28,7 @@
 
 
 def test_messages_arrive_whole_and_in_order():
-    """Guards against messages lost, doubled or reordered by the batching."""
+    """Guards against messages lost, duplicated or reordered by batching."""
 
     async def scenario():
         first, second = find_addresses(2)
@@ -49,7 +49,7 @@
 
 
 def test_message_to_an_unreachable_peer_is_reported_as_unsent():
-    """Guards against a statement called unknown that was never sent."""
+    """Guards against an unknown outcome for a statement that was never sent."""
 
     async def scenario():
         first, second = find_addresses(2)
@@ -65,13 +65,13 @@
 
 @pytest.mark.parametrize("data", [b"", b"\x92\xc4\x01", b"\x93\x01\x02\x03"])
 def test_damaged_batch_is_refused(data):
-    """Guards against a cut batch taken for whole messages."""
+    """Guards against a truncated batch that is accepted as complete messages."""
     with pytest.raises(exceptions.CodecError):
         messages.split_batch(data)
 
 
-def test_a_stuck_connection_is_opened_anew_but_not_at_once(monkeypatch):
-    """After a cut an old connection waits seconds for its next retransmission."""
+def test_stalled_connection_is_reset_after_its_minimum_age(monkeypatch):
+    """Guards against waiting seconds for a retransmission after a partition."""
 
     async def scenario():
         first, second = find_addresses(2)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -6,15 +6,15 @@
 
 
 def test_lines_about_requests_are_bounded():
-    """Ten thousand requests in a second leave a budgeted number of lines."""
+    """Guards against a log that grows with the rate of requests."""
     budget = logs.LineBudget(rate=20.0, burst=40.0)
     written = sum(budget.try_take(number / 10_000) for number in range(10_000))
     assert written <= 40 + 20
     assert written + budget.suppressed == 10_000
 
 
-def test_a_reader_that_does_not_read_blocks_nothing():
-    """A full pipe drops whole lines and counts them."""
+def test_stalled_reader_does_not_block():
+    """Guards against blocking on a full pipe; whole lines are dropped and counted."""
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     try:
@@ -33,7 +33,7 @@
         os.close(writer)
 
 
-def test_a_closed_log_stops_nothing():
+def test_closed_log_does_not_raise():
     reader, writer = os.pipe()
     os.close(reader)
     output = logs.PipeOutput(descriptor=writer)
