--- a/hyssopshelf/scheduling/tests/test_limits.py
+++ b/hyssopshelf/scheduling/tests/test_limits.py
@@ -72,7 +72,7 @@
     assert limit.maximum > 40.0
 
 
-def test_one_overload_cuts_once(board):
+def test_one_overload_decreases_the_limit_once(board):
     """Guards against a collapse when many answers report the same overload."""
     fill(board, "a", "normal")
     for _ in range(50):
--- a/hyssopshelf/scheduling/tests/test_queues.py
+++ b/hyssopshelf/scheduling/tests/test_queues.py
@@ -105,7 +105,7 @@
     assert partner_part(parts, "b") == pytest.approx(0.3, abs=0.02)
 
 
-def test_unused_share_is_lent():
+def test_unused_share_is_used_by_others():
     """Guards against slots kept free for a partner that does not use them."""
     parts = flood([("b", "normal")], seconds=50, mean_seconds=EVEN)
     assert partner_part(parts, "b") == pytest.approx(1.0)
@@ -160,7 +160,7 @@
     assert [queue.take(VIEW, 0.0).id for _ in range(3)] == ["3", "1", "2"]
 
 
-def test_idle_rank_saves_a_claim_against_an_urgent_flood():
+def test_idle_rank_gets_credit_in_an_urgent_flood():
     """Guards against a rank within its floor that waits long in an urgent flood."""
     queue, now = make_queue(), 0.0
     for number in range(40):
