--- a/hyssopshelf/scheduling/tests/test_billing.py
+++ b/hyssopshelf/scheduling/tests/test_billing.py
@@ -15,7 +15,7 @@
 
 
 class Store:
-    """A store in memory that can lose requests and answers."""
+    """In-memory store with compare-and-swap that counts its calls."""
 
     def __init__(self):
         self.entries = {}
@@ -46,7 +46,7 @@
 
 
 class Fleet:
-    """Boards with a store; ``fault`` may lose a store call or its answer."""
+    """Boards that share a store; ``fault`` can lose a store call or its answer."""
 
     def __init__(self, fault=lambda: ""):
         self.boards = {
@@ -84,7 +84,7 @@
         assert billing.store_answered(event, board, self.now)
 
     def restart(self, host):
-        """Replace a node by a new incarnation that knows nothing."""
+        """Replace a node by a new incarnation without state."""
         old = self.boards[host]
         board = test_shares.make_board(host, HOSTS, seed=7)
         incarnation = old.identity.incarnation + 1
@@ -101,7 +101,7 @@
 
 
 def test_bill_reaches_the_store():
-    """Guards against slot time of a serving node that the bill leaves out."""
+    """Guards against slot time of a serving node that is missing from the bill."""
     fleet = Fleet()
     fleet.run(30, served_by=HOSTS)
     fleet.run(150)
@@ -131,7 +131,7 @@
 
 
 def test_dead_node_loses_at_most_one_second():
-    """Guards against the account of a node that dies with it."""
+    """Guards against losing the account of a node that fails."""
     fleet = Fleet()
     fleet.run(60, served_by=("h1",))
     del fleet.boards["h1"]
@@ -179,7 +179,7 @@
 
 
 def test_accounts_above_the_byte_budget_still_arrive():
-    """Guards against accounts of many ranks that never fit into the budget."""
+    """Guards against accounts with many ranks that never fit into the byte budget."""
     ranks = [f"rank-number-{number}" for number in range(40)]
     fleet = Fleet()
     source = fleet.boards["h1"]
@@ -194,7 +194,7 @@
 
 
 def test_unreadable_document_is_not_overwritten():
-    """Guards against a bill lost by a write over a damaged document."""
+    """Guards against losing a bill by overwriting a damaged document."""
     fleet = Fleet()
     entry = platform.Entry(key="billing/p", value=b"{", revision=4)
     fleet.store.entries["billing/p"] = entry
@@ -203,7 +203,7 @@
 
 
 def test_account_of_a_vanished_host_is_folded_after_a_day_of_writes():
-    """Guards against accounts of replaced host names that pile up."""
+    """Guards against accounts of replaced hosts that accumulate."""
     pool_accounts = accounts.PoolAccounts()
     pool_accounts.merge(make_account("gone", 1.0))
     for number in range(accounts.RETENTION_WRITES + 2):
@@ -249,7 +249,7 @@
 
 
 def test_two_writers_neither_lose_nor_double():
-    """Guards against hosts with different views that both write the bill."""
+    """Guards against wrong sums when two hosts with different views write the bill."""
     fleet = Fleet()
     fleet.run(30, served_by=("h1", "h2"))
     for number in range(300):
--- a/hyssopshelf/scheduling/tests/test_budgets.py
+++ b/hyssopshelf/scheduling/tests/test_budgets.py
@@ -16,7 +16,7 @@
 
 
 def test_saved_retries_are_capped():
-    """Guards against a burst of retries after a long quiet time."""
+    """Guards against a burst of retries after a long time without any."""
     budget = budgets.RetryBudget()
     for _ in range(1000):
         budget.deposit(0.0)
--- a/hyssopshelf/scheduling/tests/test_limits.py
+++ b/hyssopshelf/scheduling/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of the limits at the entry node."""
+"""Tests of the concurrency limits at the entry node."""
 
 import random
 
@@ -27,7 +27,7 @@
 
 
 def fill(board, partner, rank, now=0.0):
-    """Admit statements until the limit refuses; return how many passed."""
+    """Admit statements until the limit refuses one; return the number admitted."""
     count = 0
     while limits.admit(board, "p", partner, rank, now).is_ok():
         count += 1
@@ -40,7 +40,7 @@
 
 
 def test_flood_is_limited_for_its_own_partner_and_rank_only(board):
-    """Guards against a flood that costs another partner or rank its limit."""
+    """Guards against a flood that decreases the limit of another partner or rank."""
     fill(board, "a", "background")
     overload(board, "a", "background", 10, refused=True)
     key = ("p", "a", "background")
@@ -50,7 +50,7 @@
 
 
 def test_most_urgent_rank_is_limited_last(board):
-    """Guards against limited urgent work while less urgent work is not."""
+    """Guards against limiting urgent work while less urgent work is not limited."""
     fill(board, "a", "urgent")
     fill(board, "a", "background")
     urgent = board.admission.limits["p", "a", "urgent"]
@@ -82,7 +82,7 @@
 
 
 def test_undeclared_names_take_no_state(board):
-    """Guards against state that grows with names sent by callers."""
+    """Guards against state that grows with undeclared names sent by callers."""
     assert limits.admit(board, "p", "stranger", "urgent", 0.0).is_err()
     assert limits.admit(board, "q", "a", "urgent", 0.0).is_err()
     assert limits.admit(board, "p", "a", "other", 0.0).is_err()
@@ -90,7 +90,7 @@
 
 
 def test_idle_state_is_dropped_but_not_outstanding_work(board):
-    """Guards against state that grows, and against forgotten statements."""
+    """Guards against unbounded state and against losing outstanding statements."""
     limits.admit(board, "p", "a", "urgent", 0.0)
     limits.admit(board, "p", "b", "urgent", 0.0)
     limits.release(board, "p", "b", "urgent", 0.0)
--- a/hyssopshelf/scheduling/tests/test_queues.py
+++ b/hyssopshelf/scheduling/tests/test_queues.py
@@ -1,4 +1,4 @@
-"""Tests of the order of service at one endpoint."""
+"""Tests of the scheduling queue of one endpoint."""
 
 import collections
 import random
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("mean_seconds", [EVEN, LONG_BACKGROUND])
 def test_floors_and_shares_hold_when_all_flood(mean_seconds):
-    """Guards against urgent floods or long statements eating another's floor."""
+    """Guards against urgent floods or long statements that violate a rank floor."""
     parts = flood(ALL, seconds=400, mean_seconds=mean_seconds)
     assert rank_part(parts, "background") == pytest.approx(0.1, abs=0.01)
     assert rank_part(parts, "normal") == pytest.approx(0.2, abs=0.01)
@@ -100,19 +100,19 @@
     [("urgent", "background"), ("background", "urgent"), ("urgent", "urgent")],
 )
 def test_share_holds_against_a_more_urgent_partner(a_rank, b_rank):
-    """Guards against a partner losing its share because its work ranks lower."""
+    """Guards against a partner losing its share because its rank is less urgent."""
     parts = flood([("a", a_rank), ("b", b_rank)], seconds=200, mean_seconds=EVEN)
     assert partner_part(parts, "b") == pytest.approx(0.3, abs=0.02)
 
 
 def test_unused_share_is_used_by_others():
-    """Guards against slots kept free for a partner that does not use them."""
+    """Guards against idle slots reserved for a partner that does not use them."""
     parts = flood([("b", "normal")], seconds=50, mean_seconds=EVEN)
     assert partner_part(parts, "b") == pytest.approx(1.0)
 
 
 def test_light_partner_is_served_in_a_flood_of_all_ranks():
-    """Guards against a flooding partner pushing out one within its share."""
+    """Guards against a flooding partner that starves one within its share."""
     light = {("b", "urgent"): 0.3, ("b", "normal"): 0.3}
     parts = flood(
         [("a", rank) for rank in RANKS], seconds=300, mean_seconds=EVEN, light=light
@@ -122,7 +122,7 @@
 
 
 def test_returning_owner_gets_its_share_at_once():
-    """Guards against a long idle time or a long loan that delays the owner."""
+    """Guards against a partner that waits after others used its idle share."""
     queue = make_queue()
     for number in range(40):
         queue.admit(make_work(number, "a", "normal"), VIEW, 0.0)
@@ -152,7 +152,7 @@
 
 
 def test_urgent_goes_before_a_rank_within_its_floor():
-    """Guards against single statements of a lower rank that overtake urgent work."""
+    """Guards against less urgent statements that overtake urgent work."""
     queue = make_queue()
     queue.admit(make_work(1, "a", "normal"), VIEW, 0.0)
     queue.admit(make_work(2, "b", "background"), VIEW, 0.0)
@@ -161,7 +161,7 @@
 
 
 def test_idle_rank_gets_credit_in_an_urgent_flood():
-    """Guards against a rank within its floor that waits long in an urgent flood."""
+    """Guards against long waits of a rank within its floor in an urgent flood."""
     queue, now = make_queue(), 0.0
     for number in range(40):
         queue.admit(make_work(number), VIEW, 0.0)
@@ -174,7 +174,7 @@
 
 
 def test_transaction_statement_goes_first():
-    """Guards against open transactions that hold connections while they wait."""
+    """Guards against open transactions that wait while they hold connections."""
     queue = make_queue()
     queue.admit(make_work(1), VIEW, 0.0)
     queue.admit(make_work(2, "b", "background", in_transaction=True), VIEW, 0.0)
@@ -182,7 +182,7 @@
 
 
 def test_real_slot_time_is_charged():
-    """Guards against a partner that gains by understating its slot time."""
+    """Guards against a partner that gains service by understating its slot time."""
     queue = make_queue()
     view = attrs.evolve(VIEW, slots=1)
     for number in range(20):
@@ -197,7 +197,7 @@
 
 
 def test_full_queue_sheds_the_partner_above_its_part():
-    """Guards against one partner filling the queue of a rank for all."""
+    """Guards against one partner that fills the queue of a rank for all."""
     queue = make_queue()
     for number in range(50):
         assert queue.admit(make_work(number, "a"), VIEW, 0.0).is_ok()
@@ -218,7 +218,7 @@
 
 
 def test_work_that_cannot_finish_in_time_is_refused():
-    """Guards against work that waits only to miss its deadline."""
+    """Guards against queueing work that will miss its deadline."""
     queue = make_queue()
     view = attrs.evolve(VIEW, slots=1)
     now = 0.0
@@ -240,7 +240,7 @@
 
 
 def test_expired_work_is_returned_once():
-    """Guards against expired work that is lost or answered twice."""
+    """Guards against expired work that is lost or returned twice."""
     queue = make_queue()
     queue.admit(make_work(1, deadline=1.0), VIEW, 0.0)
     queue.admit(make_work(2), VIEW, 0.0)
@@ -250,7 +250,7 @@
 
 
 def test_same_work_twice_is_an_error():
-    """Guards against a refusal of work whose first copy may run."""
+    """Guards against refusing work whose first copy may be running."""
     queue = make_queue()
     queue.admit(make_work(1), VIEW, 0.0)
     with pytest.raises(exceptions.InvariantError):
@@ -271,7 +271,7 @@
 
 
 class QueueMachine(stateful.RuleBasedStateMachine):
-    """Guards against work lost or doubled, too many slots, and idle slots."""
+    """Guards against lost or duplicated work, excess slots in use and idle slots."""
 
     def __init__(self):
         super().__init__()
--- a/hyssopshelf/scheduling/tests/test_shares.py
+++ b/hyssopshelf/scheduling/tests/test_shares.py
@@ -93,7 +93,7 @@
 
 
 def test_shares_hold_across_endpoints_with_different_demand():
-    """Guards against a split that holds at each endpoint but not in the pool."""
+    """Guards against shares that hold at each endpoint but not in the pool."""
     used, _ = run_fleet(SKEWED, 120.0)
     assert used["a"] / sum(used.values()) == pytest.approx(0.7, abs=0.02)
 
@@ -106,13 +106,13 @@
 
 
 def test_lone_partner_gets_no_correction():
-    """Guards against factors that grow while there is nobody to lend from."""
+    """Guards against corrections that grow while no other partner is backlogged."""
     _, boards = run_fleet({"h1": "a", "h2": "a", "h3": "a"}, 20.0)
     assert boards["h1"].usage.pools["p"].corrections["a"] == pytest.approx(1.0)
 
 
 def test_correction_is_bounded_when_the_share_cannot_be_reached():
-    """Guards against a partner shut out at an endpoint by its service elsewhere."""
+    """Guards against starving a partner at one endpoint for its service elsewhere."""
     used, boards = run_fleet({"h1": "ab", "h2": "b", "h3": "b"}, 60.0)
     corrections = boards["h1"].usage.pools["p"].corrections
     assert corrections["a"] == pytest.approx(shares.MAXIMUM_CORRECTION)
@@ -149,7 +149,7 @@
 
 
 def test_report_of_an_unserved_pool_takes_no_state():
-    """Guards against state that grows with messages of strange pools."""
+    """Guards against state that grows with reports of unserved pools."""
     board = make_board("h1")
     report = shares.UsageReport(
         pool="q", partners=(), ranks=(), milli_slots=(), waiting=()
