--- a/hyssopshelf/scheduling/settlement.py
+++ b/hyssopshelf/scheduling/bill_writes.py
@@ -1,10 +1,10 @@
 """Writes of the bill documents to the platform's store.
 
-The writer of a pool keeps the document's revision and writes by
-compare-and-swap. Merging is idempotent and folding happens only inside the
-document, so after a lost answer the writer reads the document back and merges
-again: it neither loses slot time nor counts it twice. Two nodes that both
-believe they are the writer only repeat each other's work.
+The writer of a pool keeps the document's revision and writes it by
+compare-and-swap. Merging is idempotent and accounts are folded only within the
+document. After a lost answer the writer reads the document back and merges again,
+so slot time is neither lost nor counted twice. Two nodes that both consider
+themselves the writer only duplicate work.
 """
 
 import attrs
@@ -15,32 +15,32 @@
 KEY_PREFIX = "billing/"
 PERIOD_SECONDS = 60.0
 RETRY_SECONDS = 1.0
-LONGEST_RETRY_SECONDS = 60.0
+MAXIMUM_RETRY_SECONDS = 60.0
 
 ANSWER_SECONDS = 10.0
-"""Time after which a call without an answer counts as lost."""
+"""Time after which a call without an answer is treated as failed."""
 
 SUPERSEDED_SECONDS = 300.0
-"""Time for late copies of an account to arrive after a newer incarnation of its
-host was seen, before the account is folded."""
+"""Time between the first sight of a newer incarnation of a host and the folding of
+the older account, in which late copies of the account can arrive."""
 
 
 @attrs.define(kw_only=True)
-class Settlement:
+class BillWriteState:
     """State of the writes of one pool's bill.
 
     Attributes
     ----------
     call_id : str
-        Call whose answer is awaited, empty if none.
+        Identifier of the pending call; empty if none.
     is_write : bool
-        Whether that call is the compare-and-swap.
+        Whether the pending call is the compare-and-swap.
     revision : int or None
-        Revision of the document in the store; None if it must be read.
+        Revision of the stored document; None if it must be read first.
     next_at : float
         Time of the next call.
     written : Bill or None
-        Document of the last or pending write.
+        Document of the last or the pending write.
     superseded_since : dict of (str, int) to float
         Time at which a newer incarnation of the host was first seen.
     """
@@ -56,9 +56,9 @@
 
 
 def write(board, pool: str, now: float) -> None:
-    """Read or write the bill of a pool if it is time."""
-    state = board.bills.settlements.setdefault(pool, Settlement())
-    held = board.bills.pools.setdefault(pool, accounts.PoolAccounts())
+    """Read or write the bill of a pool if a call is due."""
+    state = board.bills.write_states.setdefault(pool, BillWriteState())
+    pool_accounts = board.bills.pools.setdefault(pool, accounts.PoolAccounts())
     if state.call_id:
         if now - state.asked_at < ANSWER_SECONDS:
             return
@@ -70,8 +70,10 @@
         state.is_write = False
         _call(board, state, platform.Get(key=key), now)
         return
-    draft = held.draft(pool, _ended(board, state, pool, now), set(board.hosts))
-    if state.written is not None and _same(draft, state.written):
+    draft = pool_accounts.draft(
+        pool, _find_ended(board, state, pool, now), set(board.hosts)
+    )
+    if state.written is not None and _has_same_accounts(draft, state.written):
         state.next_at = now + PERIOD_SECONDS
         return
     state.is_write = True
@@ -83,8 +85,8 @@
 
 
 def store_answered(event: base.StoreAnswered, board, now: float) -> bool:
-    """Apply a store answer; return whether it belongs to a bill."""
-    for pool, state in board.bills.settlements.items():
+    """Apply a store answer; return whether it belongs to a bill write or read."""
+    for pool, state in board.bills.write_states.items():
         if state.call_id == event.call_id:
             _apply(event, board, state, pool, now)
             return True
@@ -92,7 +94,7 @@
 
 
 def _apply(
-    event: base.StoreAnswered, board, state: Settlement, pool: str, now: float
+    event: base.StoreAnswered, board, state: BillWriteState, pool: str, now: float
 ) -> None:
     if event.result.is_err():
         _fail(board, state, pool, now)
@@ -101,16 +103,16 @@
     answer = event.result.unwrap()
     swapped = state.is_write and answer.succeeded
     entry = answer.current if state.is_write else answer
-    held = board.bills.pools[pool]
+    pool_accounts = board.bills.pools[pool]
     try:
         document = _decode(entry, pool)
     except exceptions.CodecError:
-        # Overwriting a document that cannot be read would lose the bill.
+        # An unreadable document is not overwritten, as the bill would be lost.
         board.log(logs.LogEvent.BILL_UNREADABLE, pool=pool)
         state.revision = None
         state.next_at = now + PERIOD_SECONDS
         return
-    held.adopt(document)
+    pool_accounts.adopt(document)
     state.revision = entry.revision if entry is not None else 0
     state.retry_seconds = RETRY_SECONDS
     if swapped:
@@ -127,14 +129,14 @@
     return accounts.decode_bill(entry.value)
 
 
-def _call(board, state: Settlement, operation: object, now: float) -> None:
+def _call(board, state: BillWriteState, operation: object, now: float) -> None:
     state.call_id = board.next_id()
     state.asked_at = now
     board.act(base.CallStore(call_id=state.call_id, operation=operation))
 
 
-def _fail(board, state: Settlement, pool: str, now: float) -> None:
-    """Forget what the store holds; the next call reads it back."""
+def _fail(board, state: BillWriteState, pool: str, now: float) -> None:
+    """Record a failed call; the next call reads the document again."""
     board.log(
         logs.LogEvent.BILL_OUTCOME_UNKNOWN, pool=pool, retry_seconds=state.retry_seconds
     )
@@ -142,10 +144,10 @@
     state.call_id = ""
     state.revision = None
     state.next_at = now + state.retry_seconds
-    state.retry_seconds = min(LONGEST_RETRY_SECONDS, 2.0 * state.retry_seconds)
+    state.retry_seconds = min(MAXIMUM_RETRY_SECONDS, 2.0 * state.retry_seconds)
 
 
-def _same(draft: accounts.Bill, written: accounts.Bill) -> bool:
+def _has_same_accounts(draft: accounts.Bill, written: accounts.Bill) -> bool:
     return (
         draft.closed == written.closed
         and draft.accounts == written.accounts
@@ -153,15 +155,17 @@
     )
 
 
-def _ended(board, state: Settlement, pool: str, now: float) -> set[tuple[str, int]]:
-    """Return the incarnations that can no longer grow."""
-    held = board.bills.pools[pool]
+def _find_ended(
+    board, state: BillWriteState, pool: str, now: float
+) -> set[tuple[str, int]]:
+    """Return the incarnations whose accounts can no longer grow."""
+    pool_accounts = board.bills.pools[pool]
     newest = {host: row.incarnation for host, row in board.hosts.items()}
-    for host, incarnation in [*held.open, _own_key(board)]:
+    for host, incarnation in [*pool_accounts.open, _own_key(board)]:
         newest[host] = max(incarnation, newest.get(host, incarnation))
     since = {
         key: state.superseded_since.get(key, now)
-        for key in held.open
+        for key in pool_accounts.open
         if newest[key[0]] > key[1]
     }
     state.superseded_since = since
@@ -169,7 +173,9 @@
         key for key, seen_at in since.items() if now - seen_at >= SUPERSEDED_SECONDS
     }
     return ended | {
-        key for key in held.open if _is_absent(board, key[0]) and held.is_quiet(*key)
+        key
+        for key in pool_accounts.open
+        if _is_absent(board, key[0]) and pool_accounts.is_unchanged(*key)
     }
 
 
--- a/hyssopshelf/scheduling/queues.py
+++ b/hyssopshelf/scheduling/queues.py
@@ -1,4 +1,4 @@
-"""The queue of one endpoint at its serving node."""
+"""Scheduling queue of one endpoint at the node that serves it."""
 
 import collections
 
@@ -9,8 +9,8 @@
 from hyssopshelf.configuration import views
 from hyssopshelf.scheduling import estimates, service, work
 
-SHORTEST_RETRY_SECONDS = 0.05
-LONGEST_RETRY_SECONDS = 30.0
+MINIMUM_RETRY_SECONDS = 0.05
+MAXIMUM_RETRY_SECONDS = 30.0
 
 QUEUE_FULL = "queue of the rank is full"
 DEADLINE_TOO_CLOSE = "cannot finish by its deadline"
@@ -19,24 +19,34 @@
 
 
 @attrs.define(kw_only=True)
-class Leaf:
-    """Waiting work of one partner and rank, oldest first."""
+class Flow:
+    """Waiting work of one partner and rank, oldest first.
 
-    started: collections.OrderedDict[str, work.Work] = attrs.field(
+    Attributes
+    ----------
+    in_transaction : OrderedDict of str to Work
+        Statements of open transactions by id.
+    new : OrderedDict of str to Work
+        All other work by id.
+    estimate : ServiceEstimate
+        Slot time and interval of recent work.
+    """
+
+    in_transaction: collections.OrderedDict[str, work.Work] = attrs.field(
         factory=collections.OrderedDict
     )
-    fresh: collections.OrderedDict[str, work.Work] = attrs.field(
+    new: collections.OrderedDict[str, work.Work] = attrs.field(
         factory=collections.OrderedDict
     )
     estimate: estimates.ServiceEstimate = attrs.field(factory=estimates.ServiceEstimate)
 
     def __len__(self) -> int:
         """Return the number of waiting work items."""
-        return len(self.started) + len(self.fresh)
+        return len(self.in_transaction) + len(self.new)
 
-    def line_of(self, item: work.Work) -> collections.OrderedDict[str, work.Work]:
-        """Return the line of open transactions or that of new work."""
-        return self.started if item.in_transaction else self.fresh
+    def queue_of(self, item: work.Work) -> collections.OrderedDict[str, work.Work]:
+        """Return the queue of open transactions or that of new work."""
+        return self.in_transaction if item.in_transaction else self.new
 
 
 @attrs.define(kw_only=True)
@@ -45,10 +55,13 @@
 
     Attributes
     ----------
+    item : Work
+        The work.
     charge : Charge
         Service charged for it.
     previous_start : (float, float)
-        Start state of the estimate before it, for work that is put back.
+        Start state of the estimate before the work started. It is restored if
+        the work is requeued.
     """
 
     item: work.Work
@@ -58,13 +71,13 @@
 
 @attrs.define(kw_only=True)
 class EndpointQueue:
-    """Order of service at one endpoint.
+    """Queues work for one endpoint and decides the order of service.
 
-    Statements of open transactions go first. Then the most urgent rank goes
-    first, within the partner shares and the rank floors that
-    :class:`service.ServiceClocks` keeps. Work is charged its estimated slot
-    time at the start, its elapsed time while it runs longer, and its real slot
-    time at the end.
+    Statements of open transactions are served first, then the most urgent rank
+    within the partner shares and rank floors that
+    :class:`service.ServiceClocks` enforces. Work is charged its estimated slot
+    time when it starts, its elapsed time once it exceeds the estimate, and its
+    actual slot time when it finishes.
 
     Attributes
     ----------
@@ -73,14 +86,14 @@
     pool : str
         Pool of the endpoint.
     corrections : dict of str to float
-        Factor on the share of a partner that evens out its service elsewhere
-        in the fleet; 1 if absent.
+        Factor on the share of each partner that compensates for the service
+        it gets at other nodes; 1 if absent.
     """
 
     endpoint: str
     pool: str
     corrections: dict[str, float] = attrs.field(factory=dict)
-    _leaves: dict[tuple[str, str], Leaf] = attrs.field(factory=dict, init=False)
+    _flows: dict[tuple[str, str], Flow] = attrs.field(factory=dict, init=False)
     _waiting: dict[str, work.Work] = attrs.field(factory=dict, init=False)
     _running: dict[str, Running] = attrs.field(factory=dict, init=False)
     _clocks: service.ServiceClocks = attrs.field(
@@ -92,38 +105,41 @@
     def admit(
         self, item: work.Work, view: views.PoolView, now: float, *, held: int = 0
     ) -> result.Result[tuple[work.Work, ...], work.Refusal]:
-        """Add work to the queue.
+        """Add work to the queue, refuse it, or shed other work for it.
 
         Parameters
         ----------
         held : int
-            Open connections, which can be more than the view allows after the
-            allowance became smaller; each may carry a transaction.
+            Open connections. They can exceed the limit of the view after the
+            limit was lowered, and each may carry a transaction.
 
         Returns
         -------
         Ok(tuple of Work)
-            The work was added; the tuple holds work that was shed for it.
+            The work was added; the tuple holds the work that was shed to make
+            room for it.
         Err(Refusal)
             The work was not added.
 
         Raises
         ------
         InvariantError
-            If work with the same id waits or runs. A refusal would tell the
-            caller that the statement did not run.
+            If work with the same id is waiting or running. A refusal would
+            wrongly tell the caller that the statement did not run.
         """
         if item.id in self._waiting or item.id in self._running:
-            raise exceptions.InvariantError(f"work {item.id} is queued twice")
+            raise exceptions.InvariantError(
+                f"work {item.id} is already queued or running"
+            )
         self._use_view(view)
         if item.rank not in view.ranks or item.partner not in self._partners:
-            return _refuse(UNDECLARED, LONGEST_RETRY_SECONDS)
-        leaf = self._leaves.setdefault((item.partner, item.rank), Leaf())
+            return _refuse(UNDECLARED, MAXIMUM_RETRY_SECONDS)
+        flow = self._flows.setdefault((item.partner, item.rank), Flow())
         if item.in_transaction:
             connections = max(view.connections, held)
-            return self._admit_in_transaction(item, leaf, connections, now)
-        wait = self._expected_wait(item, leaf, view, now)
-        spare = item.deadline - now - leaf.estimate.quick(now)
+            return self._admit_in_transaction(item, flow, connections, now)
+        wait = self._expected_wait(item, flow, view, now)
+        spare = item.deadline - now - flow.estimate.estimate_minimum(now)
         if spare <= 0.0 or wait > spare:
             return _refuse(DEADLINE_TOO_CLOSE, wait - spare)
         shed: tuple[work.Work, ...] = ()
@@ -135,12 +151,12 @@
         return result.Ok(shed)
 
     def take(
-        self, view: views.PoolView, now: float, *, fresh: bool = True
+        self, view: views.PoolView, now: float, *, include_new: bool = True
     ) -> work.Work | None:
-        """Start the next work if a slot is free; return None otherwise.
+        """Start the next work and return it, or None if none can start.
 
-        Without ``fresh`` only statements of open transactions are started; they
-        hold a connection already.
+        Without ``include_new`` only statements of open transactions are started,
+        as they already hold a connection.
         """
         self._use_view(view)
         if len(self._running) >= view.slots or not self._waiting:
@@ -148,51 +164,59 @@
         for running in self._running.values():
             elapsed = now - running.item.started_at
             if elapsed > running.charge.seconds:
-                self._settle(running.charge, elapsed)
-        leaves = [key for key, leaf in self._leaves.items() if leaf.started]
-        if not leaves and fresh:
-            leaves = [key for key, leaf in self._leaves.items() if leaf.fresh]
-        if not leaves:
+                self._adjust_charge(running.charge, elapsed)
+        flows = [key for key, flow in self._flows.items() if flow.in_transaction]
+        if not flows and include_new:
+            flows = [key for key, flow in self._flows.items() if flow.new]
+        if not flows:
             return None
-        partner, rank = self._clocks.choose(leaves, view)
-        leaf = self._leaves[partner, rank]
-        item = next(iter((leaf.started or leaf.fresh).values()))
+        partner, rank = self._clocks.choose(flows, view)
+        flow = self._flows[partner, rank]
+        item = next(iter((flow.in_transaction or flow.new).values()))
         self._remove(item)
-        previous_start = leaf.estimate.record_start(now)
+        previous_start = flow.estimate.record_start(now)
         item.started_at = now
         charge = self._clocks.start(partner, rank, view)
-        self._settle(charge, item.estimated_seconds or leaf.estimate.mean_seconds)
+        self._adjust_charge(
+            charge, item.estimated_seconds or flow.estimate.mean_seconds
+        )
         self._running[item.id] = Running(
             item=item, charge=charge, previous_start=previous_start
         )
         return item
 
-    def put_back(self, item: work.Work) -> None:
-        """Return work that was taken but could not start to the queue."""
+    def requeue(self, item: work.Work) -> None:
+        """Put work that was taken but could not start at the head of its queue.
+
+        Its charge and the recorded start are undone.
+        """
         running = self._running.pop(item.id, None)
         if running is not None:
-            self._settle(running.charge, 0.0)
+            self._adjust_charge(running.charge, 0.0)
         if item.id in self._waiting:
             return
         now = item.started_at if item.started_at is not None else item.enqueued_at
         item.started_at = None
         self._add(item, now)
-        leaf = self._leaves[item.partner, item.rank]
-        leaf.line_of(item).move_to_end(item.id, last=False)
+        flow = self._flows[item.partner, item.rank]
+        flow.queue_of(item).move_to_end(item.id, last=False)
         if running is not None:
-            leaf.estimate.undo_start(running.previous_start)
+            flow.estimate.undo_start(running.previous_start)
 
     def finish(self, work_id: str, now: float) -> float:
-        """Release the slot of a work item and return its slot time in seconds."""
+        """Release the slot of a work item and return its slot time in seconds.
+
+        The result is 0 if the work does not run here.
+        """
         running = self._running.pop(work_id, None)
         if running is None:
             return 0.0
         item = running.item
         seconds = max(0.0, now - item.started_at)
-        self._settle(running.charge, seconds)
-        leaf = self._leaves.get((item.partner, item.rank))
-        if leaf is not None:
-            leaf.estimate.record_finish(seconds, now)
+        self._adjust_charge(running.charge, seconds)
+        flow = self._flows.get((item.partner, item.rank))
+        if flow is not None:
+            flow.estimate.record_finish(seconds, now)
         return seconds
 
     def expire(self, now: float) -> list[work.Work]:
@@ -203,7 +227,7 @@
         return late
 
     def discard(self, work_id: str) -> bool:
-        """Remove waiting work; return whether it was waiting."""
+        """Remove work that is waiting; return whether it was found."""
         item = self._waiting.get(work_id)
         if item is None:
             return False
@@ -223,38 +247,43 @@
     @property
     def waiting_partners(self) -> set[str]:
         """Return the partners that have waiting work."""
-        return {partner for (partner, _), leaf in self._leaves.items() if len(leaf)}
+        return {partner for (partner, _), flow in self._flows.items() if len(flow)}
 
     def _admit_in_transaction(
-        self, item: work.Work, leaf: Leaf, connections: int, now: float
+        self, item: work.Work, flow: Flow, connections: int, now: float
     ) -> result.Result[tuple[work.Work, ...], work.Refusal]:
         # An open transaction holds a connection and runs one statement at a
-        # time, so the connections bound these statements, not the queue limit.
-        if item.deadline <= now + leaf.estimate.quick(now):
-            return _refuse(DEADLINE_TOO_CLOSE, SHORTEST_RETRY_SECONDS)
-        if sum(len(other.started) for other in self._leaves.values()) >= connections:
-            return _refuse(NO_CONNECTION_LEFT, LONGEST_RETRY_SECONDS)
+        # time, so the number of connections bounds these statements; the queue
+        # limit does not apply.
+        if item.deadline <= now + flow.estimate.estimate_minimum(now):
+            return _refuse(DEADLINE_TOO_CLOSE, MINIMUM_RETRY_SECONDS)
+        if (
+            sum(len(other.in_transaction) for other in self._flows.values())
+            >= connections
+        ):
+            return _refuse(NO_CONNECTION_LEFT, MAXIMUM_RETRY_SECONDS)
         self._add(item, now)
         return result.Ok(())
 
     def _shed_for(
         self, item: work.Work, view: views.PoolView, now: float
     ) -> tuple[work.Work, ...]:
-        """Remove the waiting work of the rank that is worth least, if any.
+        """Shed waiting work of the same rank to make room for ``item``.
 
-        Work that cannot meet its deadline is worth nothing. Otherwise the
-        newest work of the partner furthest above its part of the queue goes,
-        if the partner of ``item`` is within its own part.
+        Work that cannot meet its deadline is shed first. Otherwise the newest
+        work of the partner that exceeds its part of the queue the most is shed,
+        provided that the partner of ``item`` is below its own part. Return the
+        work that was removed, which can be none.
         """
-        lines = {
-            partner: leaf.fresh
-            for (partner, rank), leaf in self._leaves.items()
+        backlogs = {
+            partner: flow.new
+            for (partner, rank), flow in self._flows.items()
             if rank == item.rank
         }
         late = tuple(
             other
-            for line in lines.values()
-            for other in line.values()
+            for backlog in backlogs.values()
+            for other in backlog.values()
             if self._is_late(other, now)
         )
         if late:
@@ -265,77 +294,75 @@
 
         def excess(partner: str) -> float:
             part = max(1.0, limit * view.capacity.get(partner, 0.0))
-            return len(lines[partner]) / part
+            return len(backlogs[partner]) / part
 
-        worst = max(sorted(lines), key=excess)
+        worst = max(sorted(backlogs), key=excess)
         if excess(worst) <= 1.0 or excess(item.partner) >= 1.0:
             return ()
-        newest = next(reversed(lines[worst].values()))
+        newest = next(reversed(backlogs[worst].values()))
         self._remove(newest)
         return (newest,)
 
     def _expected_wait(
-        self, item: work.Work, leaf: Leaf, view: views.PoolView, now: float
+        self, item: work.Work, flow: Flow, view: views.PoolView, now: float
     ) -> float:
-        # Work behind fewer items than there are slots is always tried, so that
-        # the estimates keep getting samples.
-        if len(leaf) < view.slots:
+        # Work with fewer items ahead of it than there are slots is always
+        # accepted, so that the estimates keep receiving samples.
+        if len(flow) < view.slots:
             return 0.0
         floor = view.ranks[item.rank].floor
         guaranteed = floor * view.capacity.get(item.partner, 0.0) * view.slots
-        return leaf.estimate.wait(len(leaf), guaranteed, now)
+        return flow.estimate.estimate_wait(len(flow), guaranteed, now)
 
     def _is_late(self, item: work.Work, now: float) -> bool:
-        leaf = self._leaves[item.partner, item.rank]
-        return item.deadline <= now + leaf.estimate.quick(now)
+        flow = self._flows[item.partner, item.rank]
+        return item.deadline <= now + flow.estimate.estimate_minimum(now)
 
     def _rank_waiting(self, rank: str) -> int:
         return sum(
-            len(leaf.fresh)
-            for (_, other), leaf in self._leaves.items()
-            if other == rank
+            len(flow.new) for (_, other), flow in self._flows.items() if other == rank
         )
 
     def _add(self, item: work.Work, now: float) -> None:
         key = (item.partner, item.rank)
-        leaf = self._leaves.setdefault(key, Leaf())
-        waiting = [other for other, line in self._leaves.items() if len(line)]
+        flow = self._flows.setdefault(key, Flow())
+        waiting = [key for key, other in self._flows.items() if len(other)]
         ranks = {rank for _, rank in waiting}
         if item.rank not in ranks:
             self._clocks.resume_rank(item.rank, ranks, self._view)
         if item.partner not in {partner for partner, _ in waiting}:
             self._clocks.resume_partner(item.partner)
-        if not len(leaf):
-            leaf.estimate.resume(now, max(1, self._view.slots))
-        leaf.line_of(item)[item.id] = item
+        if not len(flow):
+            flow.estimate.resume(now, max(1, self._view.slots))
+        flow.queue_of(item)[item.id] = item
         self._waiting[item.id] = item
 
     def _remove(self, item: work.Work) -> None:
         del self._waiting[item.id]
-        del self._leaves[item.partner, item.rank].line_of(item)[item.id]
+        del self._flows[item.partner, item.rank].queue_of(item)[item.id]
 
-    def _settle(self, charge: service.Charge, seconds: float) -> None:
+    def _adjust_charge(self, charge: service.Charge, seconds: float) -> None:
         share = self._view.capacity.get(charge.partner, 0.0)
         share *= self.corrections.get(charge.partner, 1.0)
-        self._clocks.settle(charge, seconds, share, self._view)
+        self._clocks.adjust_charge(charge, seconds, share, self._view)
 
     def _use_view(self, view: views.PoolView) -> None:
-        """Take over a view; a new one drops state of removed partners and ranks."""
+        """Switch to ``view``; drop the state of partners and ranks that it removed."""
         if view is self._view:
             return
         self._view = view
         self._partners = frozenset(view.capacity) | {key[0] for key in view.kinds}
-        for key in [key for key, leaf in self._leaves.items() if not len(leaf)]:
+        for key in [key for key, flow in self._flows.items() if not len(flow)]:
             if key[0] not in self._partners or key[1] not in view.ranks:
-                del self._leaves[key]
+                del self._flows[key]
         self._clocks.forget(
-            self._partners | {partner for partner, _ in self._leaves},
-            set(view.ranks) | {rank for _, rank in self._leaves},
+            self._partners | {partner for partner, _ in self._flows},
+            set(view.ranks) | {rank for _, rank in self._flows},
         )
 
 
 def _refuse(reason: str, retry_after_seconds: float) -> result.Err[work.Refusal]:
     seconds = min(
-        max(retry_after_seconds, SHORTEST_RETRY_SECONDS), LONGEST_RETRY_SECONDS
+        max(retry_after_seconds, MINIMUM_RETRY_SECONDS), MAXIMUM_RETRY_SECONDS
     )
     return result.Err(work.Refusal(reason=reason, retry_after_seconds=seconds))
--- a/hyssopshelf/scheduling/shares.py
+++ b/hyssopshelf/scheduling/shares.py
@@ -1,9 +1,9 @@
 """Partner shares across the serving nodes of a pool.
 
-Serving nodes tell each other the slot time that each partner and rank recently
-used and which partners had to wait. Each node changes the weights of its own
-queues until the partners that wait get their shares of the pool's whole
-service. See docs/scheduling.md.
+Serving nodes exchange the recent slot time of each partner and rank and how much
+each partner had to wait. Each node adjusts the partner weights of its own queues
+until the backlogged partners get their shares of the pool's total service. See
+docs/scheduling.md.
 """
 
 import math
@@ -15,39 +15,39 @@
 
 PERIOD_SECONDS = 1.0
 ROUNDING_SECONDS = 1e-6
-"""Slack for sums of ticks that fall short of a period by rounding."""
+"""Tolerance for sums of ticks that fall short of a period by rounding errors."""
 
 SMOOTHING_SECONDS = 5.0
 """Time constant of the usage averages; shares hold over seconds to minutes."""
 
 BYTES_PER_SECOND = 400.0
-"""Part of the 1 KB/s that scheduling may send; billing has the rest."""
+"""Part of the scheduling budget of 1 KB/s; billing has the rest."""
 
 STALE_SECONDS = 30.0
-"""Age at which the report of a peer is dropped. In a pool with more peers than
-fit into the byte budget, the reports of this time are a random sample."""
+"""Age at which the report of a peer is dropped. If a pool has more peers than the
+byte budget covers, the reports kept are a random sample of them."""
 
 PEERS_REFRESH_SECONDS = 5.0
 
 WAITING_FRACTION = 0.3
-"""Part of the time with waiting work above which a partner wants more service."""
+"""Fraction of time with waiting work from which a partner counts as backlogged."""
 
-SMALLEST_WAITING = 1e-4
-"""Average below which the entry of a partner is dropped."""
+MINIMUM_WAITING = 1e-4
+"""Average waiting fraction below which the entry of a partner is dropped."""
 
 GAIN_PER_SECOND = 0.15
-"""Speed of the correction. With the averages' delay of 5 s it settles in about
-20 s without overshooting by more than the share tolerance."""
+"""Gain of the correction loop. With the averaging delay of 5 s it converges in
+about 20 s without overshooting by more than the share tolerance."""
 
-LARGEST_CORRECTION = 4.0
-"""Bound of a factor and its inverse. It keeps a part of each endpoint for a
-partner that gets its share elsewhere, as its work here may be urgent."""
+MAXIMUM_CORRECTION = 4.0
+"""Bound of a correction and of its inverse. A partner that gets its share at other
+endpoints keeps part of each endpoint, as its work here may be urgent."""
 
 
 @messages.register("scheduling.usage")
 @attrs.frozen(kw_only=True)
 class UsageReport:
-    """Recent usage of a pool at one serving node.
+    """Report of the recent usage of a pool at one serving node.
 
     Attributes
     ----------
@@ -70,7 +70,7 @@
 
 @attrs.define(kw_only=True)
 class PeerUsage:
-    """The last report of a peer and the time at which it arrived."""
+    """Last report of a peer and the time at which it was received."""
 
     report: UsageReport
     received_at: float
@@ -78,26 +78,29 @@
 
 @attrs.define(kw_only=True)
 class PoolUsage:
-    """Usage of one pool.
+    """Usage of one pool, as known at this node.
 
     Attributes
     ----------
     slots_used : dict of (str, str) to float
-        Own average slots in use by partner and rank.
+        Moving average of the slots in use at this node by partner and rank.
     waiting : dict of str to float
-        Own average part of the time with waiting work, by partner.
+        Moving average of the fraction of time with waiting work at this node,
+        by partner.
     peers : dict of str to PeerUsage
         Last report by host.
-    factors : dict of str to float
-        Correction of the share of each partner at this node.
+    corrections : dict of str to float
+        Factor on the share of each partner at this node.
     unsent : list of str
-        Peers that did not yet get a report in this turn.
+        Peers that were not sent a report in the current cycle.
+    hosts : tuple of str
+        Hosts that serve the pool.
     """
 
     slots_used: dict[tuple[str, str], float] = attrs.field(factory=dict)
     waiting: dict[str, float] = attrs.field(factory=dict)
     peers: dict[str, PeerUsage] = attrs.field(factory=dict)
-    factors: dict[str, float] = attrs.field(factory=dict)
+    corrections: dict[str, float] = attrs.field(factory=dict)
     unsent: list[str] = attrs.field(factory=list)
     hosts: tuple[str, ...] = ()
     hosts_read_at: float = float("-inf")
@@ -105,9 +108,10 @@
 
 @attrs.define(kw_only=True)
 class UsageState:
-    """Usage of all pools that the node serves or heard of.
+    """Usage of the pools that the node serves.
 
-    ``counted`` holds slot seconds by pool, partner and rank since the start.
+    ``counted`` holds the slot seconds by pool, partner and rank since the start,
+    ``averaged`` their values at the last average.
     """
 
     pools: dict[str, PoolUsage] = attrs.field(factory=dict)
@@ -123,19 +127,19 @@
 def record_usage(
     board, pool: str, partner: str, rank: str, slot_seconds: float
 ) -> None:
-    """Count slot time that a statement used at this node."""
+    """Count slot time, in seconds, that a statement used at this node."""
     key = (pool, partner, rank)
     counted = board.usage.counted
     counted[key] = counted.get(key, 0.0) + slot_seconds
 
 
 def fleet_usage(board, pool: str, now: float) -> dict[tuple[str, str], float]:
-    """Return the slots in use in a pool by partner and rank, as known here."""
+    """Return the slots in use in a pool by partner and rank, as known at this node."""
     state = board.usage.pools.get(pool)
     if state is None:
         return {}
     total = dict(state.slots_used)
-    for peer in _fresh_peers(state, now):
+    for peer in _recent_peers(state, now):
         report = peer.report
         pairs = [(p, r) for p in report.partners for r in report.ranks]
         for key, milli_slots in zip(pairs, report.milli_slots, strict=False):
@@ -144,7 +148,7 @@
 
 
 def step(board, now: float) -> None:
-    """Sample waiting work; once a second average, correct and report."""
+    """Sample waiting work; once a second update averages, corrections and reports."""
     state = board.usage
     _sample_waiting(board, now)
     if state.averaged_at is None:
@@ -160,14 +164,14 @@
             del state.pools[name]
     _average_usage(board, elapsed)
     for name in sorted(state.pools):
-        _correct(board, name, elapsed, now)
+        _update_corrections(board, name, elapsed, now)
     for name in board.random.sample(sorted(state.pools), len(state.pools)):
         _send_reports(board, name, now)
 
 
 @base.receive.register
 def receive_usage(message: UsageReport, board, host: str, now: float) -> None:
-    """Keep the usage report of a peer for a pool that this node serves."""
+    """Store the usage report of a peer if this node serves the pool."""
     state = board.usage.pools.get(message.pool)
     if state is not None:
         state.peers[host] = PeerUsage(report=message, received_at=now)
@@ -178,16 +182,16 @@
     elapsed = 0.0 if state.sampled_at is None else max(0.0, now - state.sampled_at)
     state.sampled_at = now
     weight = 1.0 - math.exp(-elapsed / SMOOTHING_SECONDS)
-    wanting: dict[str, set[str]] = {}
+    backlogged: dict[str, set[str]] = {}
     for queue in board.endpoint_queues.values():
-        wanting.setdefault(queue.pool, set()).update(queue.waiting_partners)
-    for pool, partners in wanting.items():
+        backlogged.setdefault(queue.pool, set()).update(queue.waiting_partners)
+    for pool, partners in backlogged.items():
         usage = state.pools.setdefault(pool, PoolUsage())
         for partner in partners | usage.waiting.keys():
             average = usage.waiting.get(partner, 0.0)
             sample = 1.0 if partner in partners else 0.0
             usage.waiting[partner] = average + weight * (sample - average)
-            if usage.waiting[partner] < SMALLEST_WAITING:
+            if usage.waiting[partner] < MINIMUM_WAITING:
                 del usage.waiting[partner]
 
 
@@ -210,7 +214,7 @@
         usage.slots_used[partner, rank] = average + weight * (sample - average)
 
 
-def _fresh_peers(state: PoolUsage, now: float) -> list[PeerUsage]:
+def _recent_peers(state: PoolUsage, now: float) -> list[PeerUsage]:
     for host in [
         host
         for host, peer in state.peers.items()
@@ -220,45 +224,47 @@
     return list(state.peers.values())
 
 
-def _correct(board, pool: str, elapsed: float, now: float) -> None:
-    """Move the factors towards the shares of the partners that wait."""
+def _update_corrections(board, pool: str, elapsed: float, now: float) -> None:
+    """Adjust the corrections towards the shares of the backlogged partners."""
     state = board.usage.pools[pool]
     view = board.pools[pool]
     used: dict[str, float] = dict.fromkeys(view.capacity, 0.0)
     for (partner, _), slots in fleet_usage(board, pool, now).items():
         used[partner] = used.get(partner, 0.0) + slots
     waiting = dict(state.waiting)
-    for peer in _fresh_peers(state, now):
+    for peer in _recent_peers(state, now):
         report = peer.report
         for partner, percent in zip(report.partners, report.waiting, strict=False):
             waiting[partner] = max(waiting.get(partner, 0.0), percent / 100.0)
-    wanting = {
+    backlogged = {
         partner
         for partner, share in view.capacity.items()
         if share > 0.0 and waiting.get(partner, 0.0) >= WAITING_FRACTION
     }
-    total = sum(used[partner] for partner in wanting)
-    shares = sum(view.capacity[partner] for partner in wanting)
+    total = sum(used[partner] for partner in backlogged)
+    shares = sum(view.capacity[partner] for partner in backlogged)
     change = min(1.0, GAIN_PER_SECOND * elapsed)
-    logs = {partner: math.log(state.factors.get(partner, 1.0)) for partner in used}
+    log_corrections = {
+        partner: math.log(state.corrections.get(partner, 1.0)) for partner in used
+    }
     for partner in used:
-        if partner in wanting and len(wanting) > 1 and total > 0.0:
+        if partner in backlogged and len(backlogged) > 1 and total > 0.0:
             target = view.capacity[partner] / shares
             error = (target - used[partner] / total) / target
-            logs[partner] += change * max(-1.0, min(1.0, error))
+            log_corrections[partner] += change * max(-1.0, min(1.0, error))
         else:
-            logs[partner] *= 1.0 - change
-    bound = math.log(LARGEST_CORRECTION)
-    state.factors = {
+            log_corrections[partner] *= 1.0 - change
+    bound = math.log(MAXIMUM_CORRECTION)
+    state.corrections = {
         partner: math.exp(max(-bound, min(bound, value)))
-        for partner, value in logs.items()
+        for partner, value in log_corrections.items()
     }
     for queue in board.endpoint_queues.values():
         if queue.pool == pool:
-            queue.corrections = state.factors
+            queue.corrections = state.corrections
 
 
-def _report(board, pool: str) -> UsageReport:
+def _make_report(board, pool: str) -> UsageReport:
     state = board.usage.pools[pool]
     partners = tuple(sorted(set(state.waiting) | {p for p, _ in state.slots_used}))
     ranks = tuple(sorted({rank for _, rank in state.slots_used}))
@@ -276,7 +282,7 @@
 
 
 def _send_reports(board, pool: str, now: float) -> None:
-    """Send the report to as many peers as the byte budget allows."""
+    """Send the usage report to as many peers as the byte budget allows."""
     state = board.usage.pools[pool]
     if now - state.hosts_read_at >= PEERS_REFRESH_SECONDS:
         state.hosts_read_at = now
@@ -286,12 +292,12 @@
     peers = [host for host in state.hosts if host != board.identity.host]
     if not peers:
         return
-    report = _report(board, pool)
+    report = _make_report(board, pool)
     size = encoded_bytes(board, report)
     for _ in peers:
         if not state.unsent:
             state.unsent = board.random.sample(peers, len(peers))
-        if not board.usage.budget.spend(size, now):
+        if not board.usage.budget.try_take(size, now):
             return
         board.count("usage_bytes_sent", size)
         board.act(base.SendPeer(host=state.unsent.pop(), message=report))
@@ -308,7 +314,7 @@
 
 
 def encoded_bytes(board, message: object) -> int:
-    """Return the size of a message on the wire, in bytes."""
+    """Return the encoded size of a message with its envelope, in bytes."""
     identity = board.identity
     envelope = messages.Envelope(
         host=identity.host, address=identity.address, message=message
