--- a/hyssopshelf/gateway/autocommit.py
+++ b/hyssopshelf/gateway/autocommit.py
@@ -67,7 +67,9 @@
         hedge_delay = hedging.find_hedge_delay(
             gateway.board.get_health(endpoint).latency
         )
-        answer, late = await _wait(gateway, attempts, deadline, hedge_delay)
+        answer, hedge_due = await _wait_for_answer(
+            gateway, attempts, deadline, hedge_delay
+        )
         if answer is not None and answer.error is None:
             return answer
         if answer is not None:
@@ -75,11 +77,11 @@
         now = clocks.read_clock()
         if now >= deadline:
             return reply
-        repeatable = late and retry.needs_primary
+        repeatable = hedge_due and retry.needs_primary
         if not repeatable and reply.error is not _KIND.UNPREPARED:
             retry.record_failure(endpoint, reservation.version, reply.error, now)
     if attempts and reply.error is not None:
-        answer, _ = await _wait(gateway, attempts, deadline, None)
+        answer, _ = await _wait_for_answer(gateway, attempts, deadline, None)
         return answer if answer is not None else reply
     return reply
 
@@ -121,7 +123,9 @@
         reservation.release()
 
 
-async def _wait(gateway, attempts: set, deadline: float, hedge_delay: float | None):
+async def _wait_for_answer(
+    gateway, attempts: set, deadline: float, hedge_delay: float | None
+):
     """Wait for an answer to one of the attempts.
 
     Returns
--- a/hyssopshelf/gateway/execution.py
+++ b/hyssopshelf/gateway/execution.py
@@ -71,13 +71,13 @@
         One entry for each attempt: endpoint and outcome.
     """
 
-    steps: list[str] = attrs.field(factory=list)
+    attempts: list[str] = attrs.field(factory=list)
     endpoint: str = ""
-    queued: float = 0.0
+    queued_seconds: float = 0.0
 
     def add(self, endpoint: str, outcome: str) -> None:
         """Add the outcome of an attempt."""
-        self.steps.append(f"{endpoint}:{outcome}")
+        self.attempts.append(f"{endpoint}:{outcome}")
 
 
 def make_retry_state(route: catalog.Route, *, reads: bool) -> retries.RetryState:
@@ -216,7 +216,7 @@
             health = gateway.board.get_health(endpoint.id)
             endpoint_health.record_failure(health, now, ended)
         return make_error(_KIND.UNAVAILABLE, error.reason)
-    trace.queued += clocks.read_clock() - now
+    trace.queued_seconds += clocks.read_clock() - now
     reservation = Reservation(
         pool=pool, checkout=checkout, candidate=candidate, version=version
     )
--- a/hyssopshelf/gateway/forwarding.py
+++ b/hyssopshelf/gateway/forwarding.py
@@ -31,7 +31,7 @@
 NOT_PRIMARY_REASON = "no longer the valid primary"
 """Reason of a holder that does not send work to a former primary."""
 
-_MARK = b"\0"
+_NAME_PLACEHOLDER = b"\0"
 """Stands for the statement's name on the connection in a message; no message of
 a line protocol contains it."""
 
@@ -140,9 +140,9 @@
 
     async def run(self, state, shape, build_message, deadline: float):
         """Send one message through the holder and return its reply."""
-        head, _, tail = build_message(_MARK if shape is not None else b"").partition(
-            _MARK
-        )
+        head, _, tail = build_message(
+            _NAME_PLACEHOLDER if shape is not None else b""
+        ).partition(_NAME_PLACEHOLDER)
         return await self._send(
             values=list(state.values.items()),
             shape=tuple(shape) if shape is not None else None,
@@ -306,7 +306,7 @@
         self.reset = reset
         self.holders: dict[str, list[tuple[str, str]]] = {}
         self._units: dict[int, RemoteConnection] = {}
-        self._numbers = itertools.count(1)
+        self._counter = itertools.count(1)
         self._avoided: dict[str, float] = {}
         self._pinned: dict[tuple[str, int], PinnedUnit] = {}
         self._tasks: dict[tuple[str, int], asyncio.Task] = {}
@@ -324,7 +324,7 @@
         candidates = usable or holders
         if not candidates:
             return None
-        return candidates[next(self._numbers) % len(candidates)]
+        return candidates[next(self._counter) % len(candidates)]
 
     def avoid(self, host: str, address: str) -> None:
         """Prefer other holders for a time, and connect to this one anew."""
@@ -334,7 +334,7 @@
 
     def start_unit(self, remote: RemoteConnection) -> int:
         """Register a unit of work; return its number."""
-        number = next(self._numbers)
+        number = next(self._counter)
         self._units[number] = remote
         return number
 
@@ -457,7 +457,7 @@
             )
         finally:
             pool.release_slot(checkout)
-            self._settle(
+            self._finish_step(
                 key, pool, connection, reply, in_transaction=pinned is not None
             )
         return Forwarded(
@@ -471,7 +471,7 @@
             position=tuple(reply.position) if reply.position is not None else None,
         )
 
-    def _settle(self, key, pool, connection, reply, in_transaction: bool) -> None:
+    def _finish_step(self, key, pool, connection, reply, in_transaction: bool) -> None:
         """Keep, return or close a connection after a message of a unit."""
         if reply is None:
             if in_transaction or connection.closed:
--- a/hyssopshelf/gateway/memory.py
+++ b/hyssopshelf/gateway/memory.py
@@ -8,11 +8,11 @@
 
 import attrs
 
-CLIENT_SHARE = 0.2
+CLIENT_MEMORY_SHARE = 0.2
 """Part of the host's memory for what clients have sent and not read. A node with
 full caches and connections needs less than half of the smallest known host's."""
 
-COUNTED_BYTES = 4096
+UNCOUNTED_BYTES = 4096
 """Bytes of one connection that are not counted, so that usual requests cost no
 bookkeeping; connections are bounded by the descriptors."""
 
@@ -31,9 +31,9 @@
 
     limit: int
     total: int = 0
-    _held: dict[object, int] = attrs.field(factory=dict, init=False)
+    _byte_counts: dict[object, int] = attrs.field(factory=dict, init=False)
 
-    def update(self, holder: object, count: int) -> list:
+    def update(self, connection: object, count: int) -> list:
         """Note how many bytes a connection holds.
 
         Returns
@@ -42,25 +42,27 @@
             Connections to close, the largest holders first, so that the rest is
             within the limit.
         """
-        if count <= COUNTED_BYTES:
-            self.release(holder)
+        if count <= UNCOUNTED_BYTES:
+            self.release(connection)
             return []
-        self.total += count - self._held.get(holder, 0)
-        self._held[holder] = count
+        self.total += count - self._byte_counts.get(connection, 0)
+        self._byte_counts[connection] = count
         closing = []
         if self.total > self.limit:
-            for other in sorted(self._held, key=self._held.get, reverse=True):
+            for other in sorted(
+                self._byte_counts, key=self._byte_counts.get, reverse=True
+            ):
                 if self.total <= self.limit:
                     break
                 self.release(other)
                 closing.append(other)
         return closing
 
-    def release(self, holder: object) -> None:
+    def release(self, connection: object) -> None:
         """Forget a connection."""
-        self.total -= self._held.pop(holder, 0)
+        self.total -= self._byte_counts.pop(connection, 0)
 
 
 def compute_limit(memory_megabytes: int) -> int:
     """Return the limit on a host, in bytes."""
-    return int(memory_megabytes * 1024 * 1024 * CLIENT_SHARE)
+    return int(memory_megabytes * 1024 * 1024 * CLIENT_MEMORY_SHARE)
--- a/hyssopshelf/gateway/server.py
+++ b/hyssopshelf/gateway/server.py
@@ -58,10 +58,10 @@
 
     def abort_idle_transactions(self, now: float) -> None:
         """Roll back transactions that rest longer than the operator allows."""
-        current = self.gateway.board.configuration
-        if current is None:
+        configuration = self.gateway.board.configuration
+        if configuration is None:
             return
-        limit = current.limits.idle_transaction_seconds
+        limit = configuration.limits.idle_transaction_seconds
         for connection in self.connections:
             session = connection.session
             if connection.working or session is None or session.transaction is None:
@@ -132,7 +132,7 @@
         if self._pending and not self.working:
             self.working = True
             loop = asyncio.get_running_loop()
-            self._task = loop.create_task(self._work())
+            self._task = loop.create_task(self._process_pending())
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Release the session once its statement has ended."""
@@ -173,7 +173,7 @@
             self, len(self._buffer) + self._pending_bytes + unsent
         )
 
-    async def _work(self) -> None:
+    async def _process_pending(self) -> None:
         try:
             while self._pending and not self._closed:
                 line = self._pending.popleft()
@@ -182,15 +182,15 @@
                     self._paused = False
                     self._transport.resume_reading()
                 if self.session is None:
-                    self._start(line)
+                    self._start_session(line)
                 else:
-                    await self._serve(line)
+                    await self._answer_request(line)
         finally:
             self.working = False
             if self._closed and self.session is not None:
                 self.session.close()
 
-    def _start(self, line: bytes) -> None:
+    def _start_session(self, line: bytes) -> None:
         codec = self.server.codec
         name = codec.parse_start(line)
         if name is None:
@@ -198,21 +198,24 @@
             self._send(codec.format_refusal(_KIND.BAD_REQUEST, b"START expected"))
             self.close()
             return
-        text = name.decode(errors="replace")
-        current = self.server.gateway.board.configuration
-        if current is None or text not in current.routes:
-            kind = _KIND.NOT_FOUND if current is not None else _KIND.UNAVAILABLE
+        session_name = name.decode(errors="replace")
+        configuration = self.server.gateway.board.configuration
+        if configuration is None or session_name not in configuration.routes:
+            kind = _KIND.NOT_FOUND if configuration is not None else _KIND.UNAVAILABLE
             logs.write_request(
                 logs.LogEvent.SESSION_REFUSED,
-                {"name": text, "version": current.version if current else 0},
+                {
+                    "name": session_name,
+                    "version": configuration.version if configuration else 0,
+                },
             )
             self._send(codec.format_refusal(kind, name))
             self.close()
             return
-        self.session = sessions.Session(gateway=self.server.gateway, name=text)
+        self.session = sessions.Session(gateway=self.server.gateway, name=session_name)
         self._send(codec.format_ready("I"))
 
-    async def _serve(self, line: bytes) -> None:
+    async def _answer_request(self, line: bytes) -> None:
         codec = self.server.codec
         session = self.session
         request = codec.parse_request(line)
@@ -230,31 +233,31 @@
             session.close()
             reply = execution.make_error(_KIND.INTERNAL, "internal error")
         self._send(codec.format_reply(reply, session.status))
-        self._log(request, reply, session, clocks.read_clock() - started)
+        self._log_request(request, reply, session, clocks.read_clock() - started)
         if reply.error is _KIND.NOT_FOUND:
             self.close()
 
-    def _log(self, request, reply, session, seconds: float) -> None:
+    def _log_request(self, request, reply, session, seconds: float) -> None:
         trace = session.trace
         route = session.find_route()
         self.server.gateway.metrics.record(
             route.rank if route is not None else UNKNOWN_RANK,
             reply.error.value if reply.error else "done",
             seconds,
-            trace.queued,
+            trace.queued_seconds,
         )
-        if reply.error is None and not trace.steps and not trace.endpoint:
+        if reply.error is None and not trace.attempts and not trace.endpoint:
             return
-        current = self.server.gateway.board.configuration
+        configuration = self.server.gateway.board.configuration
         fields = {
             "id": request.id.decode(errors="replace"),
             "name": session.name,
             "statement": type(request.statement).__name__,
             "endpoint": trace.endpoint,
-            "trail": trace.steps,
-            "queued_ms": round(trace.queued * 1000, 1),
+            "trail": trace.attempts,
+            "queued_ms": round(trace.queued_seconds * 1000, 1),
             "total_ms": round(seconds * 1000, 1),
-            "version": current.version if current else 0,
+            "version": configuration.version if configuration else 0,
             "outcome": reply.error.value if reply.error else "done",
         }
         if reply.error is not None:
--- a/hyssopshelf/gateway/session_state.py
+++ b/hyssopshelf/gateway/session_state.py
@@ -55,12 +55,16 @@
 
 def estimate_cost(connection: ConnectionState, session: SessionState) -> int:
     """Return the messages that the setup of the values needs."""
-    held = connection.values
-    if held == session.values:
+    connection_values = connection.values
+    if connection_values == session.values:
         return 0
-    if held.keys() - session.values.keys():
+    if connection_values.keys() - session.values.keys():
         return RESET_COST + len(session.values)
-    return sum(1 for name, value in session.values.items() if held.get(name) != value)
+    return sum(
+        1
+        for name, value in session.values.items()
+        if connection_values.get(name) != value
+    )
 
 
 def synchronize(
@@ -69,12 +73,12 @@
     shape: statements.Shape | None,
 ) -> SessionSetup:
     """Return the session setup before a statement and apply it to the state."""
-    full = (
+    limit_reached = (
         shape is not None
         and shape not in connection.prepared
         and len(connection.prepared) >= MAXIMUM_PREPARED
     )
-    reset = full or bool(connection.values.keys() - session.values.keys())
+    reset = limit_reached or bool(connection.values.keys() - session.values.keys())
     if reset:
         connection.values.clear()
         connection.prepared.clear()
--- a/hyssopshelf/gateway/sessions.py
+++ b/hyssopshelf/gateway/sessions.py
@@ -59,8 +59,10 @@
 
     def find_route(self) -> catalog.Route | None:
         """Return the route in force."""
-        current = self.gateway.board.configuration
-        return current.routes.get(self.name) if current is not None else None
+        configuration = self.gateway.board.configuration
+        return (
+            configuration.routes.get(self.name) if configuration is not None else None
+        )
 
     async def answer(self, request: statements.Request) -> statements.Reply:
         """Run a request and return its reply."""
--- a/hyssopshelf/gateway/tests/test_memory.py
+++ b/hyssopshelf/gateway/tests/test_memory.py
@@ -16,7 +16,7 @@
 
     def __init__(self) -> None:
         self.unsent = 0
-        self.ended = False
+        self.closed = False
 
     def get_extra_info(self, _):
         return self
@@ -31,7 +31,7 @@
         self.unsent += len(data)
 
     def abort(self) -> None:
-        self.ended = True
+        self.closed = True
 
     close = abort
 
@@ -51,18 +51,18 @@
 
 @given(
     st.lists(
-        st.tuples(st.integers(0, 9), st.integers(0, 3 * memory.COUNTED_BYTES)),
+        st.tuples(st.integers(0, 9), st.integers(0, 3 * memory.UNCOUNTED_BYTES)),
         max_size=80,
     )
 )
-def test_the_total_matches_and_stays_within_the_limit(steps):
-    budget = memory.BufferBudget(limit=5 * memory.COUNTED_BYTES)
-    held = {}
-    for holder, count in steps:
-        held[holder] = count if count > memory.COUNTED_BYTES else 0
-        for closed in budget.update(holder, count):
-            held[closed] = 0
-        assert budget.total == sum(held.values())
+def test_the_total_matches_and_stays_within_the_limit(updates):
+    budget = memory.BufferBudget(limit=5 * memory.UNCOUNTED_BYTES)
+    expected = {}
+    for connection, count in updates:
+        expected[connection] = count if count > memory.UNCOUNTED_BYTES else 0
+        for closed in budget.update(connection, count):
+            expected[closed] = 0
+        assert budget.total == sum(expected.values())
         assert budget.total <= budget.limit
 
 
@@ -76,21 +76,21 @@
             codec=FakeCodec(),
             limit=LIMIT_BYTES,
         )
-        usual = [connect(listener) for _ in range(200)]
-        rude = [connect(listener) for _ in range(300)]
-        for connection, _ in usual:
+        well_behaved = [connect(listener) for _ in range(200)]
+        unfinished = [connect(listener) for _ in range(300)]
+        for connection, _ in well_behaved:
             connection.data_received(b"START db\r")
         for _ in range(12):
-            for connection, transport in rude:
-                if not transport.ended:
+            for connection, transport in unfinished:
+                if not transport.closed:
                     connection.data_received(b"x" * 64 * 1024)
                 else:
                     connection.connection_lost(None)
             assert listener.budget.total <= LIMIT_BYTES
             buffered = sum(len(c._buffer) for c in listener.connections)
-            assert buffered <= LIMIT_BYTES + 500 * memory.COUNTED_BYTES
-        assert not any(transport.ended for _, transport in usual)
-        for connection, _ in usual + rude:
+            assert buffered <= LIMIT_BYTES + 500 * memory.UNCOUNTED_BYTES
+        assert not any(transport.closed for _, transport in well_behaved)
+        for connection, _ in well_behaved + unfinished:
             connection.connection_lost(None)
         assert listener.budget.total == 0
 
--- a/hyssopshelf/gateway/tests/test_retries.py
+++ b/hyssopshelf/gateway/tests/test_retries.py
@@ -106,28 +106,28 @@
             leads=name == "one",
             started=1,
         )
-    serving = gateway.Gateway(board=board, endpoint_codec=FakeCodec())
-    serving.apply_shares({"one": 4, "two": 4})
-    return serving
+    node_gateway = gateway.Gateway(board=board, endpoint_codec=FakeCodec())
+    node_gateway.apply_shares({"one": 4, "two": 4})
+    return node_gateway
 
 
-def lead(serving, endpoint: str, version: int) -> None:
-    serving.board.primary_grants["db"] = blackboard.PrimaryGrant(
+def grant_primary(node_gateway, endpoint: str, version: int) -> None:
+    node_gateway.board.primary_grants["db"] = blackboard.PrimaryGrant(
         endpoint=endpoint,
         term=version,
         version=version,
         valid_until=clocks.read_clock() + 10.0,
     )
-    serving.notify()
+    node_gateway.notify()
 
 
-def release(serving) -> None:
-    del serving.board.primary_grants["db"]
-    serving.cancel_waiting("db")
+def revoke_primary(node_gateway) -> None:
+    del node_gateway.board.primary_grants["db"]
+    node_gateway.cancel_waiting("db")
 
 
-async def ask(serving, text: str) -> tuple[statements.Reply, float]:
-    session = sessions.Session(gateway=serving, name="db")
+async def run_statement(node_gateway, text: str) -> tuple[statements.Reply, float]:
+    session = sessions.Session(gateway=node_gateway, name="db")
     request = statements.Request(
         id=b"1",
         text=text.encode(),
@@ -140,9 +140,11 @@
 
 @pytest.fixture
 def endpoints(monkeypatch):
-    found = FakeEndpoints({})
-    monkeypatch.setattr(endpoint_connections, "open_connection", found.open_connection)
-    return found
+    fake_endpoints = FakeEndpoints({})
+    monkeypatch.setattr(
+        endpoint_connections, "open_connection", fake_endpoints.open_connection
+    )
+    return fake_endpoints
 
 
 def test_queued_work_follows_the_primary(endpoints):
@@ -150,22 +152,22 @@
     endpoints.behaviours = {"one": None, "two": 0.005}
 
     async def scenario():
-        serving = make_gateway()
-        lead(serving, "one", 1)
-        asked = [
-            asyncio.create_task(ask(serving, text))
+        node_gateway = make_gateway()
+        grant_primary(node_gateway, "one", 1)
+        tasks = [
+            asyncio.create_task(run_statement(node_gateway, text))
             for text in ["WRITE a 1"] * 6 + ["READ a"] * 6
         ]
         await asyncio.sleep(0.2)
-        release(serving)
+        revoke_primary(node_gateway)
         await asyncio.sleep(0.1)
-        lead(serving, "two", 2)
-        answers = await asyncio.gather(*asked)
+        grant_primary(node_gateway, "two", 2)
+        answers = await asyncio.gather(*tasks)
         unknown = exceptions.ErrorKind.OUTCOME_UNKNOWN
         assert [reply.error for reply, _ in answers] == [unknown] + [None] * 11
         assert max(seconds for _, seconds in answers[1:]) < 0.6
-        assert serving.connection_pools["one"].queue.waiting == 0
-        assert serving.connection_pools["one"].opening == 0
+        assert node_gateway.connection_pools["one"].queue.waiting == 0
+        assert node_gateway.connection_pools["one"].opening == 0
 
     asyncio.run(scenario())
 
@@ -175,15 +177,16 @@
     endpoints.behaviours = {"one": "connection refused", "two": 0.005}
 
     async def scenario():
-        serving = make_gateway()
-        lead(serving, "one", 1)
-        asked = [
-            asyncio.create_task(ask(serving, text)) for text in ("WRITE a 1", "READ a")
+        node_gateway = make_gateway()
+        grant_primary(node_gateway, "one", 1)
+        tasks = [
+            asyncio.create_task(run_statement(node_gateway, text))
+            for text in ("WRITE a 1", "READ a")
         ]
         await asyncio.sleep(0.4)
-        release(serving)
-        lead(serving, "two", 2)
-        for reply, seconds in await asyncio.gather(*asked):
+        revoke_primary(node_gateway)
+        grant_primary(node_gateway, "two", 2)
+        for reply, seconds in await asyncio.gather(*tasks):
             assert reply.error is None
             assert seconds < 0.5
         # Repeats are paced.
@@ -196,12 +199,12 @@
     endpoints.behaviours = {"one": "connection refused"}
 
     async def scenario():
-        serving = make_gateway()
-        lead(serving, "one", 1)
-        asked = asyncio.create_task(ask(serving, "WRITE a 1"))
+        node_gateway = make_gateway()
+        grant_primary(node_gateway, "one", 1)
+        tasks = asyncio.create_task(run_statement(node_gateway, "WRITE a 1"))
         await asyncio.sleep(0.2)
         endpoints.behaviours["one"] = 0.005
-        reply, seconds = await asked
+        reply, seconds = await tasks
         assert reply.error is None
         assert seconds < 0.2 + 2 * retries.RETRY_PAUSE_SECONDS
 
@@ -212,9 +215,9 @@
     endpoints.behaviours = {"one": exceptions.ErrorKind.FULL.value}
 
     async def scenario():
-        serving = make_gateway()
-        lead(serving, "one", 1)
-        reply, seconds = await ask(serving, "WRITE a 1")
+        node_gateway = make_gateway()
+        grant_primary(node_gateway, "one", 1)
+        reply, seconds = await run_statement(node_gateway, "WRITE a 1")
         assert reply.error is exceptions.ErrorKind.UNAVAILABLE
         assert seconds < 0.1
 
@@ -225,50 +228,55 @@
     endpoints.behaviours = {"one": "connection refused"}
 
     async def scenario():
-        serving = make_gateway()
-        lead(serving, "one", 1)
-        reply, seconds = await ask(serving, "WRITE a 1")
+        node_gateway = make_gateway()
+        grant_primary(node_gateway, "one", 1)
+        reply, seconds = await run_statement(node_gateway, "WRITE a 1")
         assert reply.error is exceptions.ErrorKind.UNAVAILABLE
         assert seconds <= STATEMENT_SECONDS
 
     asyncio.run(scenario())
 
 
-def test_an_answer_is_not_held_up_by_a_hedge(endpoints):
+def test_an_answer_is_not_delayed_by_a_hedge(endpoints):
     """A read that is offered again and queues returns with its first answer."""
     endpoints.behaviours = {"one": 0.3}
 
     async def scenario():
-        serving = make_gateway()
-        lead(serving, "one", 1)
-        first = asyncio.create_task(ask(serving, "READ a"))
+        node_gateway = make_gateway()
+        grant_primary(node_gateway, "one", 1)
+        first = asyncio.create_task(run_statement(node_gateway, "READ a"))
         await asyncio.sleep(0.01)
-        others = [asyncio.create_task(ask(serving, "WRITE a 1")) for _ in range(2)]
+        others = [
+            asyncio.create_task(run_statement(node_gateway, "WRITE a 1"))
+            for _ in range(2)
+        ]
         reply, seconds = await first
         assert reply.error is None
         assert seconds < 0.4
         await asyncio.gather(*others)
-        assert serving.connection_pools["one"].queue.running == 0
+        assert node_gateway.connection_pools["one"].queue.running == 0
 
     asyncio.run(scenario())
 
 
-def test_connections_beyond_the_need_are_closed(endpoints):
+def test_unused_connections_are_closed_after_a_burst(endpoints):
     """A burst opens connections; the last used ones go on, the rest ends."""
     endpoints.behaviours = {"one": 0.005}
 
     async def scenario():
-        serving = make_gateway()
-        lead(serving, "one", 1)
-        pool = serving.get_local_pool(serving.board.endpoints["one"])
+        node_gateway = make_gateway()
+        grant_primary(node_gateway, "one", 1)
+        pool = node_gateway.get_local_pool(node_gateway.board.endpoints["one"])
         pool.view = attrs.evolve(pool.view, slots=4)
-        await asyncio.gather(*(ask(serving, "WRITE a 1") for _ in range(8)))
+        await asyncio.gather(
+            *(run_statement(node_gateway, "WRITE a 1") for _ in range(8))
+        )
         assert len(pool.open_connections) == 4
         opened = clocks.read_clock()
         for connection in pool.open_connections:
             connection.used_at = opened - connection_pools.IDLE_SECONDS
         for _ in range(6):
-            await ask(serving, "WRITE a 1")
+            await run_statement(node_gateway, "WRITE a 1")
             next(reversed(pool.idle)).used_at = clocks.read_clock()
         pool.close_surplus(clocks.read_clock())
         assert len(pool.open_connections) == 1
@@ -276,37 +284,37 @@
     asyncio.run(scenario())
 
 
-def test_reads_leave_a_replica_that_breaks_its_connections(endpoints):
+def test_reads_avoid_a_replica_that_resets_connections(endpoints):
     """Answers between the resets keep it from looking dead."""
     endpoints.behaviours = {"one": 0.005, "two": 0.001}
 
     async def scenario():
-        serving = make_gateway(catalog.ReadRule.BOUNDED)
-        lead(serving, "one", 1)
-        serving.board.get_positions("db").start_term(1)
-        serving.board.get_positions("db").add(
+        node_gateway = make_gateway(catalog.ReadRule.BOUNDED)
+        grant_primary(node_gateway, "one", 1)
+        node_gateway.board.get_positions("db").start_term(1)
+        node_gateway.board.get_positions("db").add(
             statements.LogPosition(1, 1), clocks.read_clock() - 0.1
         )
         for number in range(40):
             endpoints.behaviours["two"] = "reset" if number % 2 else 0.001
-            pool = serving.get_local_pool(serving.board.endpoints["two"])
+            pool = node_gateway.get_local_pool(node_gateway.board.endpoints["two"])
             pool.close_idle(0, clocks.read_clock())
-            serving.board.get_health("two").avoid_until = 0.0
-            reply, _ = await ask(serving, "READ a")
+            node_gateway.board.get_health("two").avoid_until = 0.0
+            reply, _ = await run_statement(node_gateway, "READ a")
             assert reply.error is None
         assert endpoints.opened.count("two") < 20
 
     asyncio.run(scenario())
 
 
-def test_transactions_go_on_after_the_share_became_smaller(endpoints):
+def test_transactions_continue_after_the_share_shrinks(endpoints):
     """Each holds a connection already, so its statements are not too many."""
     endpoints.behaviours = {"one": 0.02}
 
     async def scenario():
-        serving = make_gateway()
-        lead(serving, "one", 1)
-        clients = [sessions.Session(gateway=serving, name="db") for _ in range(4)]
+        node_gateway = make_gateway()
+        grant_primary(node_gateway, "one", 1)
+        clients = [sessions.Session(gateway=node_gateway, name="db") for _ in range(4)]
 
         async def send(client, statement):
             request = statements.Request(id=b"1", text=b"", statement=statement)
@@ -316,7 +324,7 @@
             await send(client, statements.Begin(read_only=False))
             reply = await send(client, statements.Access(writes=True))
             assert reply.error is None
-        serving.apply_shares({"one": 1, "two": 1})
+        node_gateway.apply_shares({"one": 1, "two": 1})
         replies = await asyncio.gather(
             *(send(client, statements.Access(writes=True)) for client in clients)
         )
@@ -325,22 +333,25 @@
     asyncio.run(scenario())
 
 
-def test_work_that_is_refused_and_superseded_at_once_counts_no_connection(endpoints):
+def test_work_refused_and_cancelled_together_counts_no_connection(endpoints):
     endpoints.behaviours = {"one": None}
 
     async def scenario():
-        serving = make_gateway()
-        lead(serving, "one", 1)
-        asked = [asyncio.create_task(ask(serving, "WRITE a 1")) for _ in range(3)]
+        node_gateway = make_gateway()
+        grant_primary(node_gateway, "one", 1)
+        tasks = [
+            asyncio.create_task(run_statement(node_gateway, "WRITE a 1"))
+            for _ in range(3)
+        ]
         await asyncio.sleep(0.05)
-        pool = serving.connection_pools["one"]
+        pool = node_gateway.connection_pools["one"]
         for item in pool.queue.expire(clocks.read_clock() + 10.0):
             pool._refuse(item, "cannot start before its deadline")
-        for task in asked[1:]:
+        for task in tasks[1:]:
             task.cancel()
-        await asyncio.wait(asked[1:])
+        await asyncio.wait(tasks[1:])
         assert pool.opening == 0
         assert pool.queue.waiting == 0
-        await asked[0]
+        await tasks[0]
 
     asyncio.run(scenario())
--- a/hyssopshelf/gateway/tests/test_session_state.py
+++ b/hyssopshelf/gateway/tests/test_session_state.py
@@ -12,7 +12,7 @@
 )
 
 
-def apply(session_setup, values: dict, prepared: dict) -> None:
+def apply_setup(session_setup, values: dict, prepared: dict) -> None:
     if session_setup.reset:
         values.clear()
         prepared.clear()
@@ -34,7 +34,7 @@
     for session_values, shape in uses:
         session = session_state.SessionState(values=dict(session_values))
         session_setup = session_state.synchronize(connection, session, shape)
-        apply(session_setup, values, prepared)
+        apply_setup(session_setup, values, prepared)
         assert values == session_values
         if shape is not None:
             assert prepared[connection.prepared[shape]] == shape
@@ -72,8 +72,8 @@
 
 def test_the_cheapest_connection_needs_no_message():
     session = session_state.SessionState(values={b"a": b"1"})
-    fitting = session_state.ConnectionState(values={b"a": b"1"})
+    matching = session_state.ConnectionState(values={b"a": b"1"})
     empty = session_state.ConnectionState()
-    foreign = session_state.ConnectionState(values={b"b": b"1"})
-    costs = [session_state.estimate_cost(c, session) for c in (fitting, empty, foreign)]
+    other = session_state.ConnectionState(values={b"b": b"1"})
+    costs = [session_state.estimate_cost(c, session) for c in (matching, empty, other)]
     assert costs[0] == 0 < costs[1] < costs[2]
