--- a/hyssopshelf/gateway/autocommit.py
+++ b/hyssopshelf/gateway/autocommit.py
@@ -1,4 +1,4 @@
-"""Single statements outside a transaction."""
+"""Runs single statements outside a transaction, with retries and hedges."""
 
 import asyncio
 
@@ -14,9 +14,9 @@
 
 
 async def run(session, request, writes: bool, shape) -> statements.Reply:
-    """Run one statement, at other endpoints again while that is safe.
+    """Run one statement and retry it while that is safe.
 
-    A read may run twice; a write is offered again only if it did not run.
+    A read may run twice; a write is retried only if it did not run.
     """
     route = session.find_route()
     if route is None:
@@ -45,7 +45,7 @@
 
 
 async def _run_read(session, request, shape, route, deadline: float):
-    """Offer a read until one endpoint answers it."""
+    """Run a read until an endpoint answers it, with a hedge for a late answer."""
     gateway = session.gateway
     gateway.hedges.deposit()
     retry = execution.make_retry_state(route, reads=True)
@@ -87,18 +87,18 @@
 
 
 async def _reserve_or_answer(session, route, deadline: float, retry, attempts: set):
-    """Wait for a way to an endpoint or for a success of an open attempt.
+    """Reserve an endpoint unless an open attempt succeeds first.
 
     Returns
     -------
     Reservation or Reply
-        The way to the endpoint; the answer that made it needless, or a failure if
-        there is no way.
+        A reply is the answer of the attempt that succeeded, or the error because of
+        which no endpoint could be reserved.
     """
-    work = execution.reserve(session, route, deadline, retry)
+    reserve_coroutine = execution.reserve(session, route, deadline, retry)
     if not attempts:
-        return await work
-    reserving = asyncio.get_running_loop().create_task(work)
+        return await reserve_coroutine
+    reserving = asyncio.get_running_loop().create_task(reserve_coroutine)
     while not reserving.done():
         done, _ = await asyncio.wait(
             {reserving, *attempts}, return_when=asyncio.FIRST_COMPLETED
@@ -113,7 +113,7 @@
 
 
 async def _cancel_reservation(reserving: asyncio.Task) -> None:
-    """Give up the way to an endpoint."""
+    """Cancel a reservation; release it if it was made meanwhile."""
     reserving.cancel()
     await asyncio.wait({reserving})
     if reserving.cancelled():
@@ -128,12 +128,18 @@
 ):
     """Wait for an answer to one of the attempts.
 
+    Parameters
+    ----------
+    hedge_delay : float or None
+        Time after which a hedge is due, in seconds; None to wait for a success of
+        any attempt up to the deadline.
+
     Returns
     -------
     reply : Reply or None
         The first success, else the last failure.
-    late : bool
-        Whether an attempt is still open and a hedge may be made.
+    hedge_due : bool
+        Whether no answer came in the hedge delay and the budget allows a hedge.
     """
     reply = None
     while attempts:
@@ -160,7 +166,10 @@
 
 
 async def _attempt(session, request, writes, shape, reservation, deadline):
-    """Send the statement to one endpoint and return its reply."""
+    """Send the statement to one endpoint and return its reply.
+
+    Afterwards the slot is free and the connection back in its pool, or closed.
+    """
     gateway = session.gateway
     pool, connection = reservation.pool, reservation.checkout.connection
     database = pool.endpoint.database
--- a/hyssopshelf/gateway/execution.py
+++ b/hyssopshelf/gateway/execution.py
@@ -1,4 +1,4 @@
-"""Running statements of sessions at endpoints, with retries where they are safe."""
+"""Runs statements of sessions at endpoints and retries them where that is safe."""
 
 import attrs
 
@@ -15,10 +15,10 @@
 )
 
 MAXIMUM_ATTEMPTS = 6
-"""Endpoints that a statement is offered to at most; a database has three."""
+"""Attempts at most for one statement; a database has three endpoints."""
 
 PRIMARY_WAIT_SHARE = 0.9
-"""Part of the statement's time for which it waits for a primary."""
+"""Fraction of the statement's time limit for which it may wait for a primary."""
 
 _KIND = exceptions.ErrorKind
 
@@ -33,21 +33,23 @@
         _KIND.UNAVAILABLE,
     }
 )
-"""Outcomes of an attempt that did not run the statement."""
+"""Errors of an attempt that did not run the statement."""
 
 
 FULL_REASON = _KIND.FULL.value
-"""Reason of a connection that an endpoint refused because it has too many."""
+"""Error reason when an endpoint refuses a connection because it has too many."""
 
 
 @attrs.frozen(kw_only=True)
 class Reservation:
-    """A slot and a connection at an endpoint.
+    """A slot and a connection at an endpoint, reserved for one unit of work.
 
     Attributes
     ----------
+    candidate : Candidate
+        The endpoint and the log position that a read needs there.
     version : int
-        Version of the belief in the primary, 0 at a replica.
+        Version of the primary grant, 0 at a replica.
     """
 
     pool: connection_pools.ConnectionPool
@@ -56,19 +58,23 @@
     version: int
 
     def release(self) -> None:
-        """Give slot and connection back unused."""
+        """Return the slot and the connection unused."""
         self.pool.release_connection(self.checkout.connection)
         self.pool.release_slot(self.checkout)
 
 
 @attrs.define(kw_only=True)
 class RequestTrace:
-    """What happened to a request, for the log.
+    """Attempts of one request, written to its log line.
 
     Attributes
     ----------
-    steps : list of str
-        One entry for each attempt: endpoint and outcome.
+    attempts : list of str
+        ``endpoint:outcome`` of each attempt that did not succeed.
+    endpoint : str
+        Endpoint that ran the statement, empty without one.
+    queued_seconds : float
+        Time spent waiting for slots and connections.
     """
 
     attempts: list[str] = attrs.field(factory=list)
@@ -76,12 +82,12 @@
     queued_seconds: float = 0.0
 
     def add(self, endpoint: str, outcome: str) -> None:
-        """Add the outcome of an attempt."""
+        """Add the outcome of a failed attempt."""
         self.attempts.append(f"{endpoint}:{outcome}")
 
 
 def make_retry_state(route: catalog.Route, *, reads: bool) -> retries.RetryState:
-    """Return the retry state of a unit of work.
+    """Return the retry state of a new unit of work.
 
     Parameters
     ----------
@@ -96,7 +102,7 @@
 def record_freshness(
     gateway, reservation: Reservation, reply: statements.Reply
 ) -> None:
-    """Note whether a replica held the position that a read needed."""
+    """Update a replica's lag from its answer to a read that needed a position."""
     if reservation.candidate.position is None:
         return
     health = gateway.board.get_health(reservation.candidate.endpoint.id)
@@ -107,19 +113,22 @@
 
 
 def describe_error(reply: statements.Reply, position) -> str:
-    """Return an endpoint's error with the positions that it is about."""
+    """Return an endpoint's error; for a lagging replica with both positions."""
     if reply.error is _KIND.BEHIND and position is not None and reply.position:
         return f"behind (needs {position}, holds {reply.position})"
     return reply.error.value
 
 
 def make_error(kind: exceptions.ErrorKind, detail: str = "") -> statements.Reply:
-    """Return a reply with an error."""
+    """Return a reply with an error; clients receive the detail."""
     return statements.Reply(error=kind, detail=detail.encode())
 
 
 def can_acknowledge(gateway, database: str, version: int) -> bool:
-    """Return whether no other primary can have been promoted up to now."""
+    """Return whether no other endpoint can have been promoted so far.
+
+    That holds while the grant under which a write was sent is valid.
+    """
     grant = gateway.board.primary_grants.get(database)
     return (
         grant is not None
@@ -131,9 +140,13 @@
 def acknowledge_write(
     session, endpoint: catalog.Endpoint, version: int, reply: statements.Reply
 ) -> statements.Reply:
-    """Return the answer to a write that an endpoint ran as the primary."""
+    """Return the reply to a write that an endpoint ran as the primary.
+
+    If the grant ended meanwhile, a new primary may lack the write, so its outcome
+    is unknown.
+    """
     if not can_acknowledge(session.gateway, endpoint.database, version):
-        session.trace.add(endpoint.id, "belief lapsed")
+        session.trace.add(endpoint.id, "primary grant no longer valid")
         return make_error(_KIND.OUTCOME_UNKNOWN, "primary may have changed")
     session.last_write_position = reply.position
     return reply
@@ -144,10 +157,13 @@
 ):
     """Choose an endpoint and wait for a slot and a connection there.
 
+    Without a usable endpoint the work waits for a change of the blackboard, unless
+    an endpoint was excluded already or this node is isolated.
+
     Returns
     -------
     Reservation or Reply
-        The way to the endpoint; a reply if the work cannot start.
+        A reply with the error if the work cannot start.
     """
     gateway = session.gateway
     refusal = make_error(_KIND.UNAVAILABLE, "no primary is known")
@@ -187,8 +203,8 @@
     Returns
     -------
     Reservation, Reply or None
-        The way to the endpoint; the reason why there is none; None if another
-        endpoint became the primary meanwhile.
+        A reply with the error if the attempt failed; None if another endpoint became
+        the primary meanwhile.
     """
     gateway, trace = session.gateway, session.trace
     now = clocks.read_clock()
@@ -230,7 +246,7 @@
 def choose_endpoint(
     session, route: catalog.Route, retry: retries.RetryState, now: float
 ):
-    """Return the best candidate or None."""
+    """Return the best candidate, None without one."""
     gateway = session.gateway
     if retry.needs_primary:
         primary = gateway.board.find_primary(route.database, now)
@@ -257,12 +273,16 @@
     build_message,
     deadline: float,
 ) -> statements.Reply:
-    """Correct the connection's state, send one message and return its reply.
+    """Bring a connection to the session's state and exchange one message.
+
+    The outcome updates the endpoint's health.
 
     Parameters
     ----------
+    shape : Shape or None
+        Prepared statement that the message runs.
     build_message : callable
-        Takes the statement's name on the connection, returns the message.
+        Takes the prepared statement's name on the connection, returns the message.
 
     Raises
     ------
@@ -287,7 +307,18 @@
 
 
 def record_observation(gateway, pool, version: int, reply, sent_at: float) -> None:
-    """Use the position in an answer of the primary."""
+    """Record the log position from an answer of the primary.
+
+    It counts only under the grant in force, if that was valid when the message was
+    sent.
+
+    Parameters
+    ----------
+    version : int
+        Version of the grant under which the message was sent.
+    sent_at : float
+        Time at which the message was sent.
+    """
     database = pool.endpoint.database
     grant = gateway.board.primary_grants.get(database)
     if (
@@ -302,7 +333,11 @@
 
 
 def make_message_builder(session, request, position):
-    """Return the function that builds a client's statement for a connection."""
+    """Return a function that builds the message of a client's statement.
+
+    The function takes the prepared statement's name on the connection, empty
+    without one, as that name differs between connections.
+    """
     codec = session.gateway.endpoint_codec
 
     def build(name: bytes) -> bytes:
--- a/hyssopshelf/gateway/server.py
+++ b/hyssopshelf/gateway/server.py
@@ -1,4 +1,4 @@
-"""The listener for clients."""
+"""Accepts client connections and answers their requests."""
 
 import asyncio
 import collections
@@ -7,10 +7,10 @@
 from hyssopshelf.gateway import endpoint_connections, execution, memory, sessions
 
 MAXIMUM_PENDING = 32
-"""Requests of one client that wait for their turn; beyond, reading pauses."""
+"""Queued requests of one client above which reading from it pauses."""
 
 MAXIMUM_UNSENT_BYTES = 256 * 1024
-"""Bytes of answers that a client has not read before its connection is closed."""
+"""Unsent answers of a client, in bytes, above which its connection is closed."""
 
 UNKNOWN_RANK = -1
 """Rank under which requests without a route are counted."""
@@ -28,7 +28,7 @@
     codec : object
         Codec of the clients' protocol.
     limit : int
-        Bytes that all clients may have sent and not read together.
+        Bytes that the buffers of all clients may hold together.
     """
 
     def __init__(self, *, gateway, codec, limit: int) -> None:
@@ -39,7 +39,7 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: str) -> None:
-        """Start to accept clients."""
+        """Start to accept clients at ``host:port``."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -57,7 +57,7 @@
             connection.close()
 
     def abort_idle_transactions(self, now: float) -> None:
-        """Roll back transactions that rest longer than the operator allows."""
+        """Roll back transactions that are idle for longer than the operator allows."""
         configuration = self.gateway.board.configuration
         if configuration is None:
             return
@@ -74,7 +74,7 @@
                 session.abort()
 
     def update_buffered(self, connection: "ClientConnection", count: int) -> None:
-        """Note the bytes of a connection; close the largest holders if needed."""
+        """Record a connection's buffered bytes; close the largest above the limit."""
         for other in self.budget.update(connection, count):
             other.abort("clients hold too much memory")
 
@@ -87,7 +87,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection.
+    """Connection of one client; answers its requests in order.
 
     Parameters
     ----------
@@ -114,7 +114,7 @@
         self.server.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Queue complete lines."""
+        """Queue complete requests; pause reading if too many wait."""
         if self._closed:
             return
         lines = (self._buffer + data).split(b"\r\n")
@@ -135,7 +135,7 @@
             self._task = loop.create_task(self._process_pending())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Release the session once its statement has ended."""
+        """Close the session, after its running statement if there is one."""
         self._closed = True
         self.server.connections.discard(self)
         self.server.budget.release(self)
@@ -149,12 +149,12 @@
         return self.session is None or self.session.status == "I"
 
     def close(self) -> None:
-        """Close the connection after what was written."""
+        """Close the connection once the answers already written are sent."""
         self._closed = True
         self._transport.close()
 
     def abort(self, reason: str) -> None:
-        """Close the connection and drop what is buffered."""
+        """Close the connection at once and drop its buffers."""
         self._log_refusal(reason)
         self._closed = True
         self._buffer = b""
@@ -194,7 +194,7 @@
         codec = self.server.codec
         name = codec.parse_start(line)
         if name is None:
-            self._log_refusal("no start of a session")
+            self._log_refusal("first message is not START")
             self._send(codec.format_refusal(_KIND.BAD_REQUEST, b"START expected"))
             self.close()
             return
@@ -225,7 +225,7 @@
         started = clocks.read_clock()
         try:
             reply = await session.answer(request)
-        except Exception as error:  # a fault of the gateway must reach the log
+        except Exception as error:  # a defect of the gateway must reach the log
             logs.write(
                 logs.LogEvent.REQUEST_CRASHED,
                 {"id": request.id.decode(errors="replace"), "error": repr(error)},
--- a/hyssopshelf/gateway/sessions.py
+++ b/hyssopshelf/gateway/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of clients: what each statement does."""
+"""Client sessions and the handlers of their statements."""
 
 import asyncio
 import functools
@@ -17,11 +17,11 @@
 _KIND = exceptions.ErrorKind
 
 ROLLBACK_SECONDS = 1.0
-"""Time for a rollback before the connection is closed instead."""
+"""Time limit of a rollback, after which the connection is closed instead."""
 
 
 class Session:
-    """One client's session.
+    """Holds the state of one client's session and answers its requests.
 
     Parameters
     ----------
@@ -52,13 +52,16 @@
 
     @property
     def status(self) -> str:
-        """Return the state letter of the wire."""
+        """Return the letter of the transaction state in the client protocol.
+
+        ``I`` without a transaction, ``T`` in one, ``E`` after it has failed.
+        """
         if self.failed:
             return "E"
         return "T" if self.transaction is not None else "I"
 
     def find_route(self) -> catalog.Route | None:
-        """Return the route in force."""
+        """Return the route of the session's name in the configuration in force."""
         configuration = self.gateway.board.configuration
         return (
             configuration.routes.get(self.name) if configuration is not None else None
@@ -73,14 +76,17 @@
         return await run(request.statement, self, request)
 
     def abort(self) -> None:
-        """Give the open transaction up; the client still has to end it."""
+        """Roll back the open transaction; the client still has to end it.
+
+        The rollback at the endpoint runs in the background.
+        """
         transaction, self.transaction = self.transaction, None
         self.failed = True
         if transaction is not None and transaction.connection is not None:
             self._clean_up(transaction)
 
     def close(self) -> None:
-        """Give an open transaction up, if there is one."""
+        """Roll back the open transaction, if there is one."""
         if self.transaction is not None:
             self.abort()
 
@@ -125,15 +131,17 @@
 
 
 def refuse_after_failure(handler):
-    """Return a handler for statements that a failed transaction does not run."""
+    """Wrap a handler so that statements of a failed transaction are refused."""
 
     @functools.wraps(handler)
-    async def check(statement, session: Session, request) -> statements.Reply:
+    async def handle_unless_failed(
+        statement, session: Session, request
+    ) -> statements.Reply:
         if session.failed:
             return execution.make_error(_KIND.BAD_REQUEST, "the transaction has failed")
         return await handler(statement, session, request)
 
-    return check
+    return handle_unless_failed
 
 
 @run.register
@@ -167,7 +175,7 @@
         return execution.make_error(_KIND.BAD_REQUEST, "no transaction is open")
     reply = await transactions.run(session, request, None, commit=True)
     if session.failed:
-        # The client's COMMIT ends the transaction also when it fails.
+        # COMMIT ends the client's transaction even if it fails.
         session.failed = False
         return reply
     session.finish()
--- a/hyssopshelf/gateway/statements.py
+++ b/hyssopshelf/gateway/statements.py
@@ -8,7 +8,7 @@
 
 
 class LogPosition(NamedTuple):
-    """A place in the replicated log; positions compare in log order.
+    """A position in the replicated log; positions compare in log order.
 
     Attributes
     ----------
@@ -22,7 +22,7 @@
     number: int
 
     def __str__(self) -> str:
-        """Return the position as endpoints write it."""
+        """Return ``term.number``, the format of the endpoints."""
         return f"{self.term}.{self.number}"
 
 
@@ -84,13 +84,13 @@
 
 @attrs.frozen(kw_only=True)
 class Deallocate:
-    """Forget a prepared statement."""
+    """Remove a prepared statement of the session."""
 
     name: bytes
 
 
 class Shape(NamedTuple):
-    """What a prepared statement runs; clients with equal shapes share it."""
+    """Content of a prepared statement; sessions with equal shapes share one."""
 
     writes: bool
     text: bytes
@@ -133,9 +133,10 @@
     error : ErrorKind or None
         Kind of the failure, None for a success.
     detail : bytes
-        Error line as received.
+        Text of the error, from the endpoint or the gateway; clients receive it.
     state : bytes
-        State letter of the connection after it: ``I`` without a transaction.
+        Letter of the connection's transaction state after it: ``I`` without a
+        transaction.
     position : LogPosition or None
         Position of the endpoint's log after the statement.
     """
--- a/hyssopshelf/gateway/transactions.py
+++ b/hyssopshelf/gateway/transactions.py
@@ -1,4 +1,4 @@
-"""Statements of transactions; a transaction keeps one connection."""
+"""Runs the statements of a transaction, all on one connection."""
 
 import attrs
 
@@ -23,12 +23,11 @@
     pool, connection : ConnectionPool and EndpointConnection or None
         Where it runs; None before its first statement.
     grant_version : int
-        Version of the belief in the primary under which it started, 0 on
-        replicas.
+        Version of the primary grant under which it started, 0 at a replica.
     wrote : bool
         Whether a write ran in it.
     idle_since : float
-        End of its last statement.
+        Time at which its last statement ended.
     """
 
     read_only: bool
@@ -45,8 +44,8 @@
 ) -> statements.Reply:
     """Run a statement of the open transaction; a failure aborts it.
 
-    Nothing of a transaction is kept unless its COMMIT ran, so every other
-    failure is a promise that the client may repeat the whole transaction.
+    Nothing of a transaction is kept unless its COMMIT ran, so after any other
+    failure than an unknown outcome the client may repeat the whole transaction.
     """
     transaction = session.transaction
     deadline = clocks.read_clock() + transaction.route.statement_seconds
@@ -62,7 +61,7 @@
     ):
         if checkout is not None:
             transaction.pool.release_slot(checkout)
-        session.trace.add(transaction.pool.endpoint.id, "belief lapsed")
+        session.trace.add(transaction.pool.endpoint.id, "primary grant no longer valid")
         session.abort()
         return execution.make_error(_KIND.ABORTED, "primary may have changed")
     try:
@@ -127,7 +126,7 @@
 
 
 async def _start(session, transaction: Transaction, deadline: float):
-    """Open the transaction at an endpoint; return its checkout or a reply."""
+    """Begin the transaction at an endpoint; return its checkout or an error."""
     route = transaction.route
     retry = execution.make_retry_state(route, reads=transaction.read_only)
     reply = execution.make_error(_KIND.UNAVAILABLE)
