--- a/hyssopshelf/gateway/forwarding.py
+++ b/hyssopshelf/gateway/forwarding.py
@@ -1,8 +1,8 @@
-"""Pattern: few hosts hold an endpoint's scarce connections, the others forward.
+"""Forwards work to the few hosts that hold an endpoint's scarce connections.
 
-An entry node sends a unit of work, a single statement or the statements of one
-transaction, to a holder of connections. The holder queues it by rank like its own
-work. Entry and holder each check that the endpoint still leads where that matters.
+The client's node (entry node) sends a unit of work, a single statement or the
+statements of one transaction, to a holder, which queues it by rank like its own
+work. Both check that the endpoint is still the primary if the work needs it.
 """
 
 import asyncio
@@ -23,17 +23,17 @@
 
 PINNED_SECONDS = 8.0
 """Time after which a holder rolls back a transaction of an entry node that is
-silent; above the limits on idle transactions of all known sites."""
+silent; above the limit on idle transactions at every known site."""
 
 ANSWER_MARGIN_SECONDS = 0.02
-"""Time that the holder leaves for its answer before the statement's deadline."""
+"""Time left for the holder's answer to arrive before the statement's deadline."""
 
 NOT_PRIMARY_REASON = "no longer the valid primary"
-"""Reason of a holder that does not send work to a former primary."""
+"""Failure that a holder reports instead of sending work to a former primary."""
 
 _NAME_PLACEHOLDER = b"\0"
-"""Stands for the statement's name on the connection in a message; no message of
-a line protocol contains it."""
+"""Stands for the prepared statement's name on the connection in a message; no
+message of a line protocol contains it."""
 
 _KIND = exceptions.ErrorKind
 
@@ -41,7 +41,7 @@
 @messages.register("gateway.forward")
 @attrs.frozen(kw_only=True)
 class Forward:
-    """An entry node asks a holder to send one message to an endpoint.
+    """Request to a holder to send one message to an endpoint.
 
     Attributes
     ----------
@@ -50,7 +50,7 @@
     step : int
         Number of the message within it.
     version : int
-        Version of the belief in the primary that the work needs, 0 for none.
+        Version of the primary grant that the work needs, 0 for none.
     remaining : float
         Time to the deadline in seconds.
     values : list of (bytes, bytes) or None
@@ -58,7 +58,7 @@
     shape : (bool, bytes) or None
         Prepared statement that the message runs.
     head, tail : bytes
-        The message before and after the statement's name on the connection.
+        The message before and after the prepared statement's name.
     """
 
     unit: int
@@ -77,12 +77,12 @@
 @messages.register("gateway.forwarded")
 @attrs.frozen(kw_only=True)
 class Forwarded:
-    """A holder's answer.
+    """Answer of a holder to a Forward.
 
     Attributes
     ----------
     failure : str
-        Why there is no reply, empty if there is one.
+        Reason why there is no reply, empty if there is one.
     sent : bool
         Whether the message may have reached the endpoint.
     """
@@ -102,13 +102,13 @@
 @messages.register("gateway.cancel")
 @attrs.frozen(kw_only=True)
 class Cancel:
-    """An entry node gives a unit of work up; its transaction rolls back."""
+    """Request to a holder to end a unit of work and roll its transaction back."""
 
     unit: int
 
 
 class RemoteConnection:
-    """A unit of work at a holder, used like a connection.
+    """Runs a unit of work at a holder; has the interface of a connection.
 
     Parameters
     ----------
@@ -119,9 +119,9 @@
     holder : (str, str)
         Host and address of the holder.
     rank : int
-        Urgency of the work.
+        Urgency of the work, 0 first.
     version : int
-        Version of the belief in the primary that it needs, 0 for none.
+        Version of the primary grant that it needs, 0 for none.
     """
 
     def __init__(self, *, forwarder, endpoint, holder, rank: int, version: int):
@@ -160,7 +160,7 @@
         return [reply]
 
     def close(self) -> None:
-        """Give the unit up at the holder."""
+        """End the unit, also at the holder if it is open there."""
         if self.closed:
             return
         self.closed = True
@@ -232,7 +232,7 @@
 
 
 class RemotePool:
-    """The way to an endpoint whose connections other hosts hold.
+    """Replaces the pool of an endpoint whose connections other hosts hold.
 
     Parameters
     ----------
@@ -248,7 +248,7 @@
         self.codec = forwarder.gateway.endpoint_codec
 
     async def acquire(self, rank, deadline, session, connection=None, version: int = 0):
-        """Choose a holder; the work waits there."""
+        """Choose a holder, in whose queue the work then waits."""
         if connection is not None:
             return connection_pools.Checkout(work_id="", connection=connection)
         holder = self.forwarder.choose_holder(self.endpoint.id)
@@ -269,17 +269,17 @@
         """Do nothing; the holder counts the slots."""
 
     def release_connection(self, connection: RemoteConnection) -> None:
-        """End a unit of work."""
+        """End a unit of work after its last reply."""
         connection.finish()
 
     def discard_connection(self, connection: RemoteConnection) -> None:
-        """Give a unit of work up."""
+        """Cancel a unit of work."""
         connection.close()
 
 
 @attrs.define(kw_only=True)
 class PinnedUnit:
-    """A unit of an entry node at its holder."""
+    """Unit with an open transaction at its holder, with the connection it keeps."""
 
     pool: connection_pools.ConnectionPool
     connection: endpoint_connections.EndpointConnection
@@ -287,7 +287,7 @@
 
 
 class Forwarder:
-    """Both ends of forwarding at one node.
+    """Forwards units of work to holders and runs those that other nodes forward.
 
     Parameters
     ----------
@@ -296,7 +296,7 @@
     host : str
         Name of this host.
     send, reset : callable
-        Take host, address and message; the address of a stuck connection.
+        Take host, address and message; the address whose connection to close.
     """
 
     def __init__(self, *, gateway, host: str, send, reset) -> None:
@@ -317,7 +317,7 @@
         return bool(holders) and all(host != self.host for host, _ in holders)
 
     def choose_holder(self, endpoint: str) -> tuple[str, str] | None:
-        """Return a holder that answers, in turn, None without one."""
+        """Return the next holder, preferably one not avoided; None without one."""
         now = clocks.read_clock()
         holders = self.holders.get(endpoint, [])
         usable = [h for h in holders if self._avoided.get(h[0], 0.0) <= now]
@@ -327,7 +327,7 @@
         return candidates[next(self._counter) % len(candidates)]
 
     def avoid(self, host: str, address: str) -> None:
-        """Prefer other holders for a time, and connect to this one anew."""
+        """Prefer other holders for a time, and reconnect to this one."""
         self.reset(address)
         self._avoided[host] = clocks.read_clock() + AVOIDANCE_SECONDS
         logs.write_request(logs.LogEvent.HOLDER_AVOIDED, {"holder": host})
@@ -343,7 +343,7 @@
         self._units.pop(remote.unit, None)
 
     def receive_forwarded(self, message: Forwarded) -> None:
-        """Hand an answer to the unit that waits for it."""
+        """Pass an answer to the unit that waits for it."""
         remote = self._units.get(message.unit)
         if remote is None or remote.step != message.step or remote.waiter is None:
             return
@@ -351,7 +351,7 @@
             remote.waiter.set_result(message)
 
     def receive_unsent(self, message) -> None:
-        """End a unit whose message did not leave this node."""
+        """Fail a unit whose message could not be sent."""
         if isinstance(message, Forward):
             self.receive_forwarded(
                 Forwarded(
@@ -363,7 +363,7 @@
             )
 
     def receive_forward(self, message: Forward, host: str, address: str) -> None:
-        """Start the work that an entry node asks for."""
+        """Start the work that an entry node forwards."""
         key = (host, message.unit)
         task = asyncio.get_running_loop().create_task(
             self._serve(message, key, address)
@@ -382,7 +382,7 @@
             pinned.pool.discard_connection(pinned.connection)
 
     def expire(self, now: float) -> None:
-        """Roll back transactions of entry nodes that are silent."""
+        """Close the connections of transactions whose entry node is silent."""
         for key, pinned in list(self._pinned.items()):
             if now - pinned.used_at > PINNED_SECONDS and key not in self._tasks:
                 del self._pinned[key]
@@ -472,7 +472,7 @@
         )
 
     def _finish_step(self, key, pool, connection, reply, in_transaction: bool) -> None:
-        """Keep, return or close a connection after a message of a unit."""
+        """Pin, release or close the connection after a message of a unit."""
         if reply is None:
             if in_transaction or connection.closed:
                 pool.discard_connection(connection)
@@ -488,7 +488,7 @@
             )
 
     def _is_primary(self, message: Forward) -> bool:
-        """Return whether the endpoint leads under the version that work needs."""
+        """Return whether the primary grant that the work needs is valid."""
         board = self.gateway.board
         grant = board.primary_grants.get(message.database)
         return (
--- a/hyssopshelf/gateway/hedging.py
+++ b/hyssopshelf/gateway/hedging.py
@@ -1,30 +1,31 @@
-"""Pattern: a read whose answer is late is offered again, within a budget.
+"""Sets the delay and the budget of hedges: second attempts of late reads.
 
-An answer can be lost on its way. A read may run twice, so a hedge saves the
-wait for the statement's timeout. The budget keeps hedges from multiplying
-the load when everything is late.
+An answer can be lost in the network. A read may run twice, so a hedge saves the
+wait for the statement's timeout. The budget keeps hedges from multiplying the load
+when all answers are late.
 """
 
 import attrs
 
 MINIMUM_DELAY_SECONDS = 0.12
-"""Shortest wait before a hedge; above a round trip between regions with the
-longest usual work."""
+"""Shortest hedge delay; above a round trip between regions plus the longest usual
+execution time."""
 
 LATENCY_FACTOR = 6.0
-"""Factor on the endpoint's average latency; work times spread by about five."""
+"""Hedge delay as a multiple of the endpoint's average latency; execution times vary
+by a factor of about five."""
 
 BUDGET_SHARE = 0.08
-"""Hedges for each read in the long run; answers were lost for 2 to 5% of the
-requests in the known troubles."""
+"""Hedges per read in the long run; in known network faults 2 to 5% of the requests
+lost their answer."""
 
 BUDGET_BURST = 12.0
-"""Hedges that may come together."""
+"""Hedges that may be made in one burst."""
 
 
 @attrs.define(kw_only=True)
 class HedgeBudget:
-    """Tokens for hedges.
+    """Token bucket that limits hedges.
 
     Attributes
     ----------
@@ -35,11 +36,11 @@
     tokens: float = BUDGET_BURST
 
     def deposit(self) -> None:
-        """Count a read."""
+        """Add the tokens that one read earns."""
         self.tokens = min(BUDGET_BURST, self.tokens + BUDGET_SHARE)
 
     def try_withdraw(self) -> bool:
-        """Return whether a hedge may be made, and count it."""
+        """Take the token for one hedge; return whether there was one."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/hyssopshelf/gateway/memory.py
+++ b/hyssopshelf/gateway/memory.py
@@ -1,32 +1,32 @@
-"""Pattern: clients share one bound on memory, and the largest holder gives way.
+"""Limits the memory of all client connections together and closes the largest.
 
-A client can send half a message, many messages at once, or not read its answers.
-Each holds memory of the node until it goes on. Bounds for each connection do not
-help against many such clients; a common bound does, and well-behaved clients hold
-next to nothing of it.
+A client can send half a message, send many messages at once, or not read its
+answers. Each occupies buffers of the node until the client goes on. Limits for each
+connection do not help against many such clients; a common limit does, and
+well-behaved clients use almost none of it.
 """
 
 import attrs
 
 CLIENT_MEMORY_SHARE = 0.2
-"""Part of the host's memory for what clients have sent and not read. A node with
+"""Fraction of the host's memory for the buffers of client connections. A node with
 full caches and connections needs less than half of the smallest known host's."""
 
 UNCOUNTED_BYTES = 4096
-"""Bytes of one connection that are not counted, so that usual requests cost no
-bookkeeping; connections are bounded by the descriptors."""
+"""Buffer size up to which a connection is not counted, so that usual requests need
+no bookkeeping; the limit on file descriptors bounds the number of connections."""
 
 
 @attrs.define(kw_only=True)
 class BufferBudget:
-    """Bytes that connections hold.
+    """Counts the buffered bytes of connections against a common limit.
 
     Attributes
     ----------
     limit : int
-        Bytes that all connections may hold together.
+        Bytes that all connections may buffer together.
     total : int
-        Bytes that they hold.
+        Bytes that the counted connections buffer.
     """
 
     limit: int
@@ -34,13 +34,13 @@
     _byte_counts: dict[object, int] = attrs.field(factory=dict, init=False)
 
     def update(self, connection: object, count: int) -> list:
-        """Note how many bytes a connection holds.
+        """Record how many bytes a connection buffers.
 
         Returns
         -------
         list
-            Connections to close, the largest holders first, so that the rest is
-            within the limit.
+            Connections to close, the largest first, so that the rest stays within
+            the limit.
         """
         if count <= UNCOUNTED_BYTES:
             self.release(connection)
@@ -59,10 +59,10 @@
         return closing
 
     def release(self, connection: object) -> None:
-        """Forget a connection."""
+        """Stop counting a connection."""
         self.total -= self._byte_counts.pop(connection, 0)
 
 
 def compute_limit(memory_megabytes: int) -> int:
-    """Return the limit on a host, in bytes."""
+    """Return the limit on a host with this much memory (MiB), in bytes."""
     return int(memory_megabytes * 1024 * 1024 * CLIENT_MEMORY_SHARE)
--- a/hyssopshelf/gateway/retries.py
+++ b/hyssopshelf/gateway/retries.py
@@ -1,8 +1,8 @@
-"""Pattern: work that needs the primary follows it to the next endpoint.
+"""Decides where and when work that failed at an endpoint is tried again.
 
-Other work goes to another endpoint after a failure. Work that needs the primary has
-no other endpoint: it waits for the next primary, or tries the same one again after a
-pause. It is refused at once only by a primary that is overloaded.
+Work that needs the primary has no other endpoint: it waits for the next primary, or
+tries the same one again after a pause. It fails at once only if the primary is
+overloaded. Other work goes to another endpoint.
 """
 
 import attrs
@@ -10,18 +10,18 @@
 from hyssopshelf import exceptions
 
 RETRY_PAUSE_SECONDS = 0.15
-"""Pause before work goes to the same primary again, in seconds; about the time of
-one more attempt across regions with a new connection."""
+"""Pause before a retry at the same primary, in seconds; about the time of one more
+attempt across regions with a new connection."""
 
 _KIND = exceptions.ErrorKind
 
 OVERLOADED = frozenset({_KIND.REFUSED, _KIND.NOT_RUN, _KIND.FULL})
-"""Outcomes that another attempt at the same endpoint would only make worse."""
+"""Errors of an overloaded endpoint, to which a retry would only add load."""
 
 
 @attrs.define(kw_only=True)
 class RetryState:
-    """Where a unit of work has been offered without success.
+    """Holds what the failed attempts of a unit of work mean for the next one.
 
     Attributes
     ----------
@@ -30,7 +30,7 @@
     excluded : set of str
         Endpoints that are not tried again.
     failed_version : int
-        Version of the assignment under which the primary failed the work.
+        Version of the primary grant under which the work last failed, 0 for none.
     retry_at : float
         Time from which the primary is tried again under that version.
     """
@@ -43,12 +43,12 @@
     def record_failure(
         self, endpoint: str, version: int, kind: exceptions.ErrorKind, now: float
     ) -> None:
-        """Note that an endpoint did not run the work.
+        """Record that an endpoint did not run the work.
 
         Parameters
         ----------
         version : int
-            Version of the belief in the primary, 0 at a replica.
+            Version of the primary grant, 0 at a replica.
         """
         if self.needs_primary and kind not in OVERLOADED:
             self.failed_version = version
@@ -57,7 +57,7 @@
             self.excluded.add(endpoint)
 
     def find_retry_time(self, version: int, now: float) -> float:
-        """Return the time from which an endpoint may be tried."""
+        """Return the earliest time at which an endpoint may be tried."""
         if version and version == self.failed_version:
             return max(now, self.retry_at)
         return now
--- a/hyssopshelf/gateway/session_state.py
+++ b/hyssopshelf/gateway/session_state.py
@@ -1,8 +1,9 @@
-"""Session state that lives on connections: values and prepared statements.
+"""Brings shared connections to the state of the session that uses them.
 
-Connections are shared, so a connection has to hold exactly the values of the
-session that uses it. Prepared statements are named after their shape, so that
-sessions share them and names of different sessions do not collide.
+The state is session values and prepared statements. A connection must have exactly
+the values of its current session. Prepared statements are looked up by their shape,
+not by the client's name, so that sessions share them and names of different
+sessions do not collide.
 """
 
 import attrs
@@ -14,7 +15,7 @@
 keeps each in memory."""
 
 RESET_COST = 2
-"""Cost of a reset against that of setting one value, in messages."""
+"""Cost of a reset, in messages that set one value each."""
 
 
 @attrs.define(kw_only=True)
@@ -27,16 +28,24 @@
 
 @attrs.define(kw_only=True)
 class ConnectionState:
-    """Values and prepared statements that a connection holds."""
+    """Values and prepared statements that a connection holds.
+
+    Attributes
+    ----------
+    prepared : dict of Shape to bytes
+        Name of each prepared statement on the connection.
+    last_number : int
+        Number in the last name that was given.
+    """
 
     values: dict[bytes, bytes] = attrs.field(factory=dict)
     prepared: dict[statements.Shape, bytes] = attrs.field(factory=dict)
-    next_name: int = 0
+    last_number: int = 0
 
 
 @attrs.frozen(kw_only=True)
 class SessionSetup:
-    """Messages that make a connection fit a session, in order.
+    """Messages that bring a connection to a session's state, in order.
 
     Attributes
     ----------
@@ -54,7 +63,7 @@
 
 
 def estimate_cost(connection: ConnectionState, session: SessionState) -> int:
-    """Return the messages that the setup of the values needs."""
+    """Return how many messages set the session's values on a connection."""
     connection_values = connection.values
     if connection_values == session.values:
         return 0
@@ -72,7 +81,7 @@
     session: SessionState,
     shape: statements.Shape | None,
 ) -> SessionSetup:
-    """Return the session setup before a statement and apply it to the state."""
+    """Return the setup that a statement needs and apply it to ``connection``."""
     limit_reached = (
         shape is not None
         and shape not in connection.prepared
@@ -90,8 +99,8 @@
     connection.values.update(values)
     prepare: tuple[tuple[bytes, statements.Shape], ...] = ()
     if shape is not None and shape not in connection.prepared:
-        connection.next_name += 1
-        name = b"p%d" % connection.next_name
+        connection.last_number += 1
+        name = b"p%d" % connection.last_number
         connection.prepared[shape] = name
         prepare = ((name, shape),)
     return SessionSetup(reset=reset, values=values, prepare=prepare)
