--- a/hyssopshelf/gateway/execution.py
+++ b/hyssopshelf/gateway/execution.py
@@ -127,7 +127,7 @@
 def can_acknowledge(gateway, database: str, version: int) -> bool:
     """Return whether no other endpoint can have been promoted so far.
 
-    That holds while the grant under which a write was sent is valid.
+    This is so while the grant under which a write was sent is valid.
     """
     grant = gateway.board.primary_grants.get(database)
     return (
--- a/hyssopshelf/gateway/hedging.py
+++ b/hyssopshelf/gateway/hedging.py
@@ -16,8 +16,8 @@
 by a factor of about five."""
 
 BUDGET_SHARE = 0.08
-"""Hedges per read in the long run; in known network faults 2 to 5% of the requests
-lost their answer."""
+"""Hedges per read in the long run; in the known faults 2 to 5% of the requests lost
+their answer."""
 
 BUDGET_BURST = 12.0
 """Hedges that may be made in one burst."""
--- a/hyssopshelf/gateway/memory.py
+++ b/hyssopshelf/gateway/memory.py
@@ -1,4 +1,4 @@
-"""Limits the memory of all client connections together and closes the largest.
+"""Limits the memory of all client connections together; the largest close first.
 
 A client can send half a message, send many messages at once, or not read its
 answers. Each occupies buffers of the node until the client goes on. Limits for each
--- a/hyssopshelf/gateway/tests/test_memory.py
+++ b/hyssopshelf/gateway/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""Tests of the common bound on what clients have sent and not read."""
+"""Tests of the common limit on the buffers of client connections."""
 
 import asyncio
 
@@ -8,11 +8,11 @@
 from hyssopshelf.gateway import blackboard, gateway, memory, server
 
 LIMIT_BYTES = 40 * 1024 * 1024
-"""Limit on the smallest known host, which has 200 MB."""
+"""Limit on the smallest known host, which has 200 MiB."""
 
 
 class FakeTransport:
-    """The socket of a client that never reads."""
+    """Transport of a client that never reads."""
 
     def __init__(self) -> None:
         self.unsent = 0
@@ -66,8 +66,8 @@
         assert budget.total <= budget.limit
 
 
-def test_half_sent_messages_of_many_clients_stay_within_the_bound():
-    """Each client is within its own bound; all of them are not."""
+def test_half_sent_messages_of_many_clients_stay_within_the_limit():
+    """Each client stays within its own limit, but their sum would exceed the common."""
 
     async def scenario():
         board = blackboard.GatewayBlackboard(place="a", region="r", regions={"a": "r"})
--- a/hyssopshelf/gateway/tests/test_retries.py
+++ b/hyssopshelf/gateway/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of work that waits for a primary which is slow, gone or replaced."""
+"""Tests of retries while an endpoint is silent, crashed, overloaded or replaced."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 )
 
 STATEMENT_SECONDS = 0.8
-"""Time for a statement on the site with the shortest timeouts."""
+"""Statement timeout of the site with the shortest timeouts."""
 
 
 class FakeCodec:
@@ -36,7 +36,7 @@
 
 
 class FakeConnection:
-    """A connection whose answers come after a time, or never."""
+    """A connection that answers after a delay, never answers or is reset."""
 
     def __init__(self, *, endpoint, answer_after: float | str | None) -> None:
         self.endpoint = endpoint
@@ -63,7 +63,7 @@
 
 
 class FakeEndpoints:
-    """What connections to each endpoint do; counts the attempts."""
+    """Opens connections with the behaviour set for each endpoint and lists them."""
 
     def __init__(self, behaviours: dict) -> None:
         self.behaviours = behaviours
@@ -148,7 +148,7 @@
 
 
 def test_queued_work_follows_the_primary(endpoints):
-    """Work behind a silent primary runs at the next one, not at its deadline."""
+    """Work queued at a silent primary moves to its successor before its deadline."""
     endpoints.behaviours = {"one": None, "two": 0.005}
 
     async def scenario():
@@ -173,7 +173,7 @@
 
 
 def test_work_waits_for_the_successor_of_a_crashed_primary(endpoints):
-    """A refused connection is no answer: the next primary is near."""
+    """A refused connection must not fail the work; a successor is about to follow."""
     endpoints.behaviours = {"one": "connection refused", "two": 0.005}
 
     async def scenario():
@@ -189,7 +189,7 @@
         for reply, seconds in await asyncio.gather(*tasks):
             assert reply.error is None
             assert seconds < 0.5
-        # Repeats are paced.
+        # There is a pause before each retry.
         assert len(endpoints.opened) <= 10
 
     asyncio.run(scenario())
@@ -238,7 +238,7 @@
 
 
 def test_an_answer_is_not_delayed_by_a_hedge(endpoints):
-    """A read that is offered again and queues returns with its first answer."""
+    """A read whose hedge still waits for a slot returns with its first answer."""
     endpoints.behaviours = {"one": 0.3}
 
     async def scenario():
@@ -260,7 +260,7 @@
 
 
 def test_unused_connections_are_closed_after_a_burst(endpoints):
-    """A burst opens connections; the last used ones go on, the rest ends."""
+    """Work reuses the last used connections, so the rest of a burst is idle."""
     endpoints.behaviours = {"one": 0.005}
 
     async def scenario():
@@ -285,7 +285,7 @@
 
 
 def test_reads_avoid_a_replica_that_resets_connections(endpoints):
-    """Answers between the resets keep it from looking dead."""
+    """Answers between the resets end each row of failures, so only their share shows."""
     endpoints.behaviours = {"one": 0.005, "two": 0.001}
 
     async def scenario():
@@ -308,7 +308,7 @@
 
 
 def test_transactions_continue_after_the_share_shrinks(endpoints):
-    """Each holds a connection already, so its statements are not too many."""
+    """They have their connections already, so a smaller share must not refuse them."""
     endpoints.behaviours = {"one": 0.02}
 
     async def scenario():
@@ -334,6 +334,7 @@
 
 
 def test_work_refused_and_cancelled_together_counts_no_connection(endpoints):
+    """Guards against counting such work as started, which makes ``opening`` wrong."""
     endpoints.behaviours = {"one": None}
 
     async def scenario():
--- a/hyssopshelf/gateway/tests/test_session_state.py
+++ b/hyssopshelf/gateway/tests/test_session_state.py
@@ -27,7 +27,7 @@
     )
 )
 def test_a_connection_holds_exactly_the_values_of_its_session(uses):
-    """Guards against values of one session that another one's statement sees."""
+    """Guards against a statement that sees the values of another session."""
     connection = session_state.ConnectionState()
     values: dict = {}
     prepared: dict = {}
