--- a/hyssopshelf/gateway/tests/test_retries.py
+++ b/hyssopshelf/gateway/tests/test_retries.py
@@ -285,7 +285,7 @@
 
 
 def test_reads_avoid_a_replica_that_resets_connections(endpoints):
-    """Answers between the resets end each row of failures, so only their share shows."""
+    """Answers between the resets end each row of failures; only their share tells."""
     endpoints.behaviours = {"one": 0.005, "two": 0.001}
 
     async def scenario():
