--- a/hyssopshelf/gateway/server.py
+++ b/hyssopshelf/gateway/server.py
@@ -1,4 +1,4 @@
-"""The listener for clients."""
+"""Accepts client connections and answers their requests."""
 
 import asyncio
 import collections
@@ -7,10 +7,10 @@
 from hyssopshelf.gateway import endpoint_connections, execution, memory, sessions
 
 MAXIMUM_PENDING = 32
-"""Requests of one client that wait for their turn; beyond, reading pauses."""
+"""Queued requests of one client above which reading from it pauses."""
 
 MAXIMUM_UNSENT_BYTES = 256 * 1024
-"""Bytes of answers that a client has not read before its connection is closed."""
+"""Unsent answers of a client, in bytes, above which its connection is closed."""
 
 UNKNOWN_RANK = -1
 """Rank under which requests without a route are counted."""
@@ -28,7 +28,7 @@
     codec : object
         Codec of the clients' protocol.
     limit : int
-        Bytes that all clients may have sent and not read together.
+        Bytes that the buffers of all clients may hold together.
     """
 
     def __init__(self, *, gateway, codec, limit: int) -> None:
@@ -39,7 +39,7 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: str) -> None:
-        """Start to accept clients."""
+        """Start to accept clients at ``host:port``."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -57,11 +57,11 @@
             connection.close()
 
     def abort_idle_transactions(self, now: float) -> None:
-        """Roll back transactions that rest longer than the operator allows."""
-        current = self.gateway.board.configuration
-        if current is None:
+        """Roll back transactions that are idle for longer than the operator allows."""
+        configuration = self.gateway.board.configuration
+        if configuration is None:
             return
-        limit = current.limits.idle_transaction_seconds
+        limit = configuration.limits.idle_transaction_seconds
         for connection in self.connections:
             session = connection.session
             if connection.working or session is None or session.transaction is None:
@@ -74,7 +74,7 @@
                 session.abort()
 
     def update_buffered(self, connection: "ClientConnection", count: int) -> None:
-        """Note the bytes of a connection; close the largest holders if needed."""
+        """Record a connection's buffered bytes; close the largest above the limit."""
         for other in self.budget.update(connection, count):
             other.abort("clients hold too much memory")
 
@@ -87,7 +87,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection.
+    """Connection of one client; answers its requests in order.
 
     Parameters
     ----------
@@ -114,7 +114,7 @@
         self.server.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Queue complete lines."""
+        """Queue complete requests; pause reading if too many wait."""
         if self._closed:
             return
         lines = (self._buffer + data).split(b"\r\n")
@@ -132,10 +132,10 @@
         if self._pending and not self.working:
             self.working = True
             loop = asyncio.get_running_loop()
-            self._task = loop.create_task(self._work())
+            self._task = loop.create_task(self._process_pending())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Release the session once its statement has ended."""
+        """Close the session, after its running statement if there is one."""
         self._closed = True
         self.server.connections.discard(self)
         self.server.budget.release(self)
@@ -149,12 +149,12 @@
         return self.session is None or self.session.status == "I"
 
     def close(self) -> None:
-        """Close the connection after what was written."""
+        """Close the connection once the answers already written are sent."""
         self._closed = True
         self._transport.close()
 
     def abort(self, reason: str) -> None:
-        """Close the connection and drop what is buffered."""
+        """Close the connection at once and drop its buffers."""
         self._log_refusal(reason)
         self._closed = True
         self._buffer = b""
@@ -173,7 +173,7 @@
             self, len(self._buffer) + self._pending_bytes + unsent
         )
 
-    async def _work(self) -> None:
+    async def _process_pending(self) -> None:
         try:
             while self._pending and not self._closed:
                 line = self._pending.popleft()
@@ -182,37 +182,40 @@
                     self._paused = False
                     self._transport.resume_reading()
                 if self.session is None:
-                    self._start(line)
+                    self._start_session(line)
                 else:
-                    await self._serve(line)
+                    await self._answer_request(line)
         finally:
             self.working = False
             if self._closed and self.session is not None:
                 self.session.close()
 
-    def _start(self, line: bytes) -> None:
+    def _start_session(self, line: bytes) -> None:
         codec = self.server.codec
         name = codec.parse_start(line)
         if name is None:
-            self._log_refusal("no start of a session")
+            self._log_refusal("first message is not START")
             self._send(codec.format_refusal(_KIND.BAD_REQUEST, b"START expected"))
             self.close()
             return
-        text = name.decode(errors="replace")
-        current = self.server.gateway.board.configuration
-        if current is None or text not in current.routes:
-            kind = _KIND.NOT_FOUND if current is not None else _KIND.UNAVAILABLE
+        session_name = name.decode(errors="replace")
+        configuration = self.server.gateway.board.configuration
+        if configuration is None or session_name not in configuration.routes:
+            kind = _KIND.NOT_FOUND if configuration is not None else _KIND.UNAVAILABLE
             logs.write_request(
                 logs.LogEvent.SESSION_REFUSED,
-                {"name": text, "version": current.version if current else 0},
+                {
+                    "name": session_name,
+                    "version": configuration.version if configuration else 0,
+                },
             )
             self._send(codec.format_refusal(kind, name))
             self.close()
             return
-        self.session = sessions.Session(gateway=self.server.gateway, name=text)
+        self.session = sessions.Session(gateway=self.server.gateway, name=session_name)
         self._send(codec.format_ready("I"))
 
-    async def _serve(self, line: bytes) -> None:
+    async def _answer_request(self, line: bytes) -> None:
         codec = self.server.codec
         session = self.session
         request = codec.parse_request(line)
@@ -222,7 +225,7 @@
         started = clocks.read_clock()
         try:
             reply = await session.answer(request)
-        except Exception as error:  # a fault of the gateway must reach the log
+        except Exception as error:  # a defect of the gateway must reach the log
             logs.write(
                 logs.LogEvent.REQUEST_CRASHED,
                 {"id": request.id.decode(errors="replace"), "error": repr(error)},
@@ -230,31 +233,31 @@
             session.close()
             reply = execution.make_error(_KIND.INTERNAL, "internal error")
         self._send(codec.format_reply(reply, session.status))
-        self._log(request, reply, session, clocks.read_clock() - started)
+        self._log_request(request, reply, session, clocks.read_clock() - started)
         if reply.error is _KIND.NOT_FOUND:
             self.close()
 
-    def _log(self, request, reply, session, seconds: float) -> None:
+    def _log_request(self, request, reply, session, seconds: float) -> None:
         trace = session.trace
         route = session.find_route()
         self.server.gateway.metrics.record(
             route.rank if route is not None else UNKNOWN_RANK,
             reply.error.value if reply.error else "done",
             seconds,
-            trace.queued,
+            trace.queued_seconds,
         )
-        if reply.error is None and not trace.steps and not trace.endpoint:
+        if reply.error is None and not trace.attempts and not trace.endpoint:
             return
-        current = self.server.gateway.board.configuration
+        configuration = self.server.gateway.board.configuration
         fields = {
             "id": request.id.decode(errors="replace"),
             "name": session.name,
             "statement": type(request.statement).__name__,
             "endpoint": trace.endpoint,
-            "trail": trace.steps,
-            "queued_ms": round(trace.queued * 1000, 1),
+            "trail": trace.attempts,
+            "queued_ms": round(trace.queued_seconds * 1000, 1),
             "total_ms": round(seconds * 1000, 1),
-            "version": current.version if current else 0,
+            "version": configuration.version if configuration else 0,
             "outcome": reply.error.value if reply.error else "done",
         }
         if reply.error is not None:
