--- a/hyssopshelf/authority/member.py
+++ b/hyssopshelf/authority/member.py
@@ -335,7 +335,7 @@
     """
     found = {}
     for database, grant in board.primary_grants.items():
-        own = board.get_positions(database).latest_own
+        own = board.get_positions(database).latest_local
         if own is None or now - own[0] > MAXIMUM_OBSERVATION_AGE_SECONDS:
             continue
         sent_at, position = own
--- a/hyssopshelf/gateway/autocommit.py
+++ b/hyssopshelf/gateway/autocommit.py
@@ -47,7 +47,7 @@
 async def _run_read(session, request, shape, route, deadline: float):
     """Offer a read until one endpoint answers it."""
     gateway = session.gateway
-    gateway.hedges.deposit()
+    gateway.hedge_budget.deposit()
     retry = execution.make_retry_state(route, reads=True)
     attempts: set[asyncio.Task] = set()
     reply = execution.make_error(_KIND.UNAVAILABLE)
@@ -141,7 +141,7 @@
         if not done:
             if hedge_delay is None or remaining <= seconds:
                 return reply, False
-            if gateway.hedges.try_withdraw():
+            if gateway.hedge_budget.try_withdraw():
                 return reply, True
             hedge_delay = None
             continue
--- a/hyssopshelf/gateway/blackboard.py
+++ b/hyssopshelf/gateway/blackboard.py
@@ -61,8 +61,8 @@
     error_share: float = 0.0
     error_share_at: float = 0.0
     lag_position: statements.LogPosition | None = None
-    refusals: int = 0
-    lags_until: float = 0.0
+    lag_refusals: int = 0
+    lagging_until: float = 0.0
 
 
 @attrs.define(kw_only=True)
--- a/hyssopshelf/gateway/catalog.py
+++ b/hyssopshelf/gateway/catalog.py
@@ -113,7 +113,7 @@
         connections=connections,
         databases={},
         ranks={
-            name_rank(rank): resources.RankSpec(
+            get_rank_name(rank): resources.RankSpec(
                 order=rank,
                 floor=LOW_RANK_FLOOR if rank > min(ranks) else 0.0,
                 queue_limit=QUEUE_LIMIT,
@@ -126,6 +126,6 @@
     )
 
 
-def name_rank(rank: int) -> str:
+def get_rank_name(rank: int) -> str:
     """Return the scheduler's name of a rank."""
     return f"rank-{rank}"
--- a/hyssopshelf/gateway/connection_pools.py
+++ b/hyssopshelf/gateway/connection_pools.py
@@ -9,7 +9,7 @@
 from hyssopshelf.gateway import catalog, endpoint_connections, session_state
 from hyssopshelf.scheduling import queues, work
 
-OPEN_SECONDS = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 """Time for a new connection: a handshake takes about 12 ms and a round trip
 between regions 24 ms; a full queue of slots may come before it."""
 
@@ -21,7 +21,7 @@
 of a host that lost power for some seconds, so the rest of its limit must do for the
 restart."""
 
-EXPIRY_SECONDS = 0.05
+EXPIRY_INTERVAL_SECONDS = 0.05
 """Time between two searches for waiting work that is too late, in seconds."""
 
 _ids = itertools.count(1)
@@ -76,10 +76,10 @@
         self.queue = queues.EndpointQueue(endpoint=endpoint.id, pool=view.pool)
         self.idle: list[endpoint_connections.EndpointConnection] = []
         self.open_connections: set[endpoint_connections.EndpointConnection] = set()
-        self.opening = 0
+        self.pending_checkouts = 0
         self.refused_until = 0.0
         self.handshakes = 0
-        self.peak = 0
+        self.peak_demand = 0
         self.closed = False
         self._waiters: dict[str, asyncio.Future] = {}
         self._expiry: asyncio.TimerHandle | None = None
@@ -93,11 +93,11 @@
 
     def measure_demand(self, *, reset: bool) -> int:
         """Return the peak of connections in use and wanted."""
-        usable = sum(1 for connection in self.idle if not connection.closed)
-        current = len(self.open_connections) - usable + self.queue.waiting
-        peak = max(self.peak, current)
+        idle = sum(1 for connection in self.idle if not connection.closed)
+        current = len(self.open_connections) - idle + self.queue.waiting
+        peak = max(self.peak_demand, current)
         if reset:
-            self.peak = current
+            self.peak_demand = current
         return peak
 
     async def acquire(
@@ -123,7 +123,7 @@
         item = work.Work(
             id=str(next(_ids)),
             partner=catalog.DEFAULT_PARTNER,
-            rank=catalog.name_rank(rank),
+            rank=catalog.get_rank_name(rank),
             deadline=deadline,
             enqueued_at=now,
             in_transaction=connection is not None,
@@ -132,12 +132,12 @@
         admitted = self.queue.admit(item, self.view, now, held=held)
         if admitted.is_err():
             raise RefusalError(exceptions.ErrorKind.REFUSED, admitted.err_value.reason)
-        for shed in admitted.ok_value:
-            self._refuse(shed, "shed for other work")
+        for shed_item in admitted.ok_value:
+            self._refuse(shed_item, "shed for other work")
         waiter = asyncio.get_running_loop().create_future()
         self._waiters[item.id] = waiter
-        busy = len(self.open_connections) - len(self.idle) + self.queue.waiting
-        self.peak = max(self.peak, busy)
+        demand = len(self.open_connections) - len(self.idle) + self.queue.waiting
+        self.peak_demand = max(self.peak_demand, demand)
         self.start_waiting()
         if not waiter.done():
             self._schedule_expiry()
@@ -146,7 +146,7 @@
         except asyncio.CancelledError:
             if _is_started(waiter):
                 if connection is None:
-                    self.opening -= 1
+                    self.pending_checkouts -= 1
                 self.release_slot(Checkout(work_id=item.id, connection=None))
             else:
                 self.queue.discard(item.id)
@@ -206,7 +206,7 @@
         """Start waiting work while slots and connections are free."""
         now = clocks.read_clock()
         while True:
-            fresh = self._count_room(now) > 0
+            fresh = self._count_available(now) > 0
             item = self.queue.take(self.view, now, fresh=fresh)
             if item is None:
                 return
@@ -215,7 +215,7 @@
                 self.queue.finish(item.id, now)
                 continue
             if not item.in_transaction:
-                self.opening += 1
+                self.pending_checkouts += 1
             waiter.set_result(None)
 
     def close_surplus(self, now: float) -> None:
@@ -242,7 +242,7 @@
         for connection in list(self.idle):
             self.discard_connection(connection)
 
-    def _count_room(self, now: float) -> int:
+    def _count_available(self, now: float) -> int:
         """Return for how many new work items there is a connection.
 
         ``opening`` counts work that was started and has not taken its connection
@@ -252,7 +252,7 @@
         new = 0
         if now >= self.refused_until:
             new = max(0, self.view.connections - len(self.open_connections))
-        return idle + new - self.opening
+        return idle + new - self.pending_checkouts
 
     async def _take_connection(
         self, session: session_state.SessionState
@@ -278,24 +278,24 @@
                 return best
             return await self._open_connection()
         finally:
-            self.opening -= 1
+            self.pending_checkouts -= 1
 
     async def _open_connection(self) -> endpoint_connections.EndpointConnection:
         self.handshakes += 1
-        marker = endpoint_connections.EndpointConnection(
+        placeholder = endpoint_connections.EndpointConnection(
             endpoint=self.endpoint, codec=self.codec
         )
-        self.open_connections.add(marker)
+        self.open_connections.add(placeholder)
         try:
             connection = await endpoint_connections.open_connection(
-                self.endpoint, self.codec, OPEN_SECONDS
+                self.endpoint, self.codec, CONNECT_TIMEOUT_SECONDS
             )
         except endpoint_connections.EndpointConnectionError as error:
             if error.reason == exceptions.ErrorKind.FULL.value:
                 self.refused_until = clocks.read_clock() + REFUSED_PAUSE_SECONDS
             raise
         finally:
-            self.open_connections.discard(marker)
+            self.open_connections.discard(placeholder)
         self.open_connections.add(connection)
         return connection
 
@@ -307,7 +307,7 @@
     def _schedule_expiry(self) -> None:
         if self._expiry is None:
             loop = asyncio.get_running_loop()
-            self._expiry = loop.call_later(EXPIRY_SECONDS, self._expire)
+            self._expiry = loop.call_later(EXPIRY_INTERVAL_SECONDS, self._expire)
 
     def _expire(self) -> None:
         self._expiry = None
--- a/hyssopshelf/gateway/endpoint_connections.py
+++ b/hyssopshelf/gateway/endpoint_connections.py
@@ -6,7 +6,7 @@
 from hyssopshelf import clocks, exceptions
 from hyssopshelf.gateway import session_state, statements
 
-UNACKNOWLEDGED_MILLISECONDS = 2000
+USER_TIMEOUT_MILLISECONDS = 2000
 """Time after which the system gives up a connection whose peer acknowledges
 nothing, in milliseconds."""
 
@@ -19,14 +19,14 @@
 
 def tune_socket(transport: asyncio.BaseTransport) -> None:
     """Make a connection notice a peer that is gone without a reset."""
-    raw = transport.get_extra_info("socket")
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_SECONDS)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_SECONDS)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    raw.setsockopt(
-        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MILLISECONDS
+    sock = transport.get_extra_info("socket")
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    sock.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MILLISECONDS
     )
 
 
@@ -81,7 +81,7 @@
         self.direct = True
         self._transport: asyncio.Transport | None = None
         self._buffer = b""
-        self._expected = 0
+        self._expected_replies = 0
         self._reply = statements.Reply()
         self._replies: list[statements.Reply] = []
         self._waiter: asyncio.Future | None = None
@@ -119,7 +119,7 @@
             waiter.set_exception(EndpointConnectionError("already closed"))
             return waiter
         self._waiter = waiter
-        self._expected = replies
+        self._expected_replies = replies
         self._replies = []
         self._transport.write(data)
         return waiter
@@ -136,31 +136,31 @@
         """
         codec = self.codec
         session_setup = session_state.synchronize(self.state, state, shape)
-        parts = []
+        messages = []
         if session_setup.reset:
-            parts.append(codec.format_reset())
-        parts += [
+            messages.append(codec.format_reset())
+        messages += [
             codec.format_value(name, value) for name, value in session_setup.values
         ]
-        parts += [
+        messages += [
             codec.format_prepare(name, text) for name, text in session_setup.prepare
         ]
         name = self.state.prepared.get(shape, b"") if shape is not None else b""
-        parts.append(build_message(name))
+        messages.append(build_message(name))
         try:
             async with asyncio.timeout(max(0.0, deadline - clocks.read_clock())):
-                replies = await self.exchange(b"".join(parts), len(parts))
+                replies = await self.exchange(b"".join(messages), len(messages))
         except TimeoutError as error:
             self.close()
             raise EndpointConnectionError("no answer in time") from error
         except asyncio.CancelledError:
             self.close()
             raise
-        for setup in replies[:-1]:
-            if setup.error is not None:
+        for setup_reply in replies[:-1]:
+            if setup_reply.error is not None:
                 self.close()
                 raise EndpointConnectionError(
-                    f"session state refused: {setup.error.value}"
+                    f"session state refused: {setup_reply.error.value}"
                 )
         return replies[-1]
 
@@ -174,7 +174,7 @@
         if self.codec.feed(self._reply, line):
             self._replies.append(self._reply)
             self._reply = statements.Reply()
-            if len(self._replies) == self._expected:
+            if len(self._replies) == self._expected_replies:
                 waiter, self._waiter = self._waiter, None
                 if not waiter.done():
                     waiter.set_result(self._replies)
--- a/hyssopshelf/gateway/endpoint_health.py
+++ b/hyssopshelf/gateway/endpoint_health.py
@@ -82,12 +82,12 @@
     An endpoint can fail part of its statements while its health page is good.
     """
     sample = 1.0 if failed else 0.0
-    share = find_error_share(health, now)
+    share = compute_error_share(health, now)
     health.error_share = share + ERROR_SMOOTHING * (sample - share)
     health.error_share_at = now
 
 
-def find_error_share(health, now: float) -> float:
+def compute_error_share(health, now: float) -> float:
     """Return the share of failures that is believed now.
 
     Reads leave an endpoint that fails, so only time can show that it is well.
@@ -96,25 +96,25 @@
     return health.error_share * 0.5 ** (age / ERROR_HALF_LIFE_SECONDS)
 
 
-def find_error_cost(health, now: float) -> float:
+def compute_error_cost(health, now: float) -> float:
     """Return the expected cost of failures of a statement, in seconds."""
-    return find_error_share(health, now) * ERROR_PENALTY_SECONDS
+    return compute_error_share(health, now) * ERROR_PENALTY_SECONDS
 
 
 def record_lag(health, lag_position, now: float) -> None:
     """Note that a replica refused a read because its log ends at a position."""
     health.lag_position = lag_position
-    health.refusals += 1
-    pause = FIRST_LAG_SECONDS * 2 ** min(health.refusals - 1, 6)
-    health.lags_until = now + min(LONGEST_LAG_SECONDS, pause)
+    health.lag_refusals += 1
+    pause = FIRST_LAG_SECONDS * 2 ** min(health.lag_refusals - 1, 6)
+    health.lagging_until = now + min(LONGEST_LAG_SECONDS, pause)
 
 
-def end_lag(health) -> None:
+def clear_lag(health) -> None:
     """Note that a replica served a read that needed a position."""
-    health.refusals = 0
-    health.lags_until = 0.0
+    health.lag_refusals = 0
+    health.lagging_until = 0.0
 
 
 def is_lagging(health, position, now: float) -> bool:
     """Return whether a replica is known not to hold a position yet."""
-    return health.lags_until > now and position > health.lag_position
+    return health.lagging_until > now and position > health.lag_position
--- a/hyssopshelf/gateway/execution.py
+++ b/hyssopshelf/gateway/execution.py
@@ -101,7 +101,7 @@
         return
     health = gateway.board.get_health(reservation.candidate.endpoint.id)
     if reply.error is None:
-        endpoint_health.end_lag(health)
+        endpoint_health.clear_lag(health)
     elif reply.error is _KIND.BEHIND and reply.position is not None:
         endpoint_health.record_lag(health, reply.position, clocks.read_clock())
 
@@ -298,7 +298,7 @@
         or reply.position is None
     ):
         return
-    gateway.board.get_positions(database).add_own(reply.position, sent_at)
+    gateway.board.get_positions(database).add_local(reply.position, sent_at)
 
 
 def make_message_builder(session, request, position):
--- a/hyssopshelf/gateway/freshness.py
+++ b/hyssopshelf/gateway/freshness.py
@@ -36,38 +36,38 @@
     """
 
     term: int = 0
-    first: statements.LogPosition | None = None
+    first_position: statements.LogPosition | None = None
     observations: collections.deque = attrs.field(factory=collections.deque)
-    latest_own: tuple[float, statements.LogPosition] | None = None
+    latest_local: tuple[float, statements.LogPosition] | None = None
 
     def start_term(self, term: int) -> None:
         """Forget the observations of earlier terms."""
         self.term = term
-        self.first = None
-        self.latest_own = None
+        self.first_position = None
+        self.latest_local = None
         self.observations.clear()
 
-    def add_own(self, position: statements.LogPosition, sent_at: float) -> None:
+    def add_local(self, position: statements.LogPosition, sent_at: float) -> None:
         """Add an observation of this node, which it reports to others."""
         self.add(position, sent_at)
-        if self.latest_own is None or sent_at > self.latest_own[0]:
-            self.latest_own = (sent_at, position)
+        if self.latest_local is None or sent_at > self.latest_local[0]:
+            self.latest_local = (sent_at, position)
 
     def add(self, position: statements.LogPosition, sent_at: float) -> None:
         """Add that the primary held a position after a message sent at a time."""
-        if self.first is None or position < self.first:
-            self.first = position
-        line = self.observations
-        if line and sent_at <= line[-1][0]:
+        if self.first_position is None or position < self.first_position:
+            self.first_position = position
+        observations = self.observations
+        if observations and sent_at <= observations[-1][0]:
             return
-        if line and position < line[-1][1]:
-            position = line[-1][1]
-        if len(line) > 1 and sent_at - line[-2][0] < SPACING_SECONDS:
-            line[-1] = (sent_at, position)
+        if observations and position < observations[-1][1]:
+            position = observations[-1][1]
+        if len(observations) > 1 and sent_at - observations[-2][0] < SPACING_SECONDS:
+            observations[-1] = (sent_at, position)
         else:
-            line.append((sent_at, position))
-        while line and line[0][0] < sent_at - KEPT_SECONDS:
-            line.popleft()
+            observations.append((sent_at, position))
+        while observations and observations[0][0] < sent_at - KEPT_SECONDS:
+            observations.popleft()
 
     def find_bound(self, oldest: float) -> tuple[statements.LogPosition | None, float]:
         """Return the least position that covers commits before ``oldest``.
@@ -102,4 +102,4 @@
         """
         if position is None or position.term >= self.term:
             return position
-        return self.first
+        return self.first_position
--- a/hyssopshelf/gateway/gateway.py
+++ b/hyssopshelf/gateway/gateway.py
@@ -13,7 +13,7 @@
     metrics,
 )
 
-FIRST_SHARE = 1
+INITIAL_CONNECTIONS = 1
 """Connections that a node opens to an endpoint before it knows its share."""
 
 RESERVED_CONNECTIONS = 1
@@ -38,13 +38,13 @@
         self.board = board
         self.endpoint_codec = endpoint_codec
         self.metrics = metrics.Metrics()
-        self.hedges = hedging.HedgeBudget()
+        self.hedge_budget = hedging.HedgeBudget()
         self.connection_pools: dict[str, connection_pools.ConnectionPool] = {}
         self.shares: dict[str, int] = {}
         self.forwarder: forwarding.Forwarder | None = None
         self.open_writes: dict[tuple[str, int], int] = {}
         self._changed = asyncio.Event()
-        self._waiting: dict[str, set[asyncio.Timeout]] = {}
+        self._primary_waits: dict[str, set[asyncio.Timeout]] = {}
 
     def get_pool(self, endpoint: catalog.Endpoint):
         """Return the way to an endpoint, through a holder where there is one."""
@@ -73,27 +73,27 @@
             self.connection_pools[endpoint.id] = pool
         return pool
 
-    def apply_configuration(self, new: catalog.Configuration) -> bool:
+    def apply_configuration(self, configuration: catalog.Configuration) -> bool:
         """Put a configuration in force unless it is older; return whether it was."""
         current = self.board.configuration
-        if current is not None and new.version <= current.version:
+        if current is not None and configuration.version <= current.version:
             return False
-        self.board.configuration = new
+        self.board.configuration = configuration
         self.refresh_views()
         logs.write(
             logs.LogEvent.CONFIGURATION_APPLIED,
-            {"version": new.version, "routes": len(new.routes)},
+            {"version": configuration.version, "routes": len(configuration.routes)},
         )
         self.notify()
         return True
 
     def apply_endpoints(self, endpoints: dict[str, catalog.Endpoint]) -> None:
         """Replace the registered endpoints."""
-        before = self.board.endpoints
-        if endpoints == before:
+        previous = self.board.endpoints
+        if endpoints == previous:
             return
         for endpoint in endpoints.values():
-            if before.get(endpoint.id) != endpoint:
+            if previous.get(endpoint.id) != endpoint:
                 logs.write(
                     logs.LogEvent.ENDPOINT_REGISTERED,
                     {
@@ -107,7 +107,7 @@
                     },
                 )
         self.board.endpoints = endpoints
-        for endpoint_id in before.keys() - endpoints.keys():
+        for endpoint_id in previous.keys() - endpoints.keys():
             logs.write(logs.LogEvent.ENDPOINT_REMOVED, {"endpoint": endpoint_id})
             self.board.health.pop(endpoint_id, None)
             pool = self.connection_pools.pop(endpoint_id, None)
@@ -158,22 +158,22 @@
         """
         if not version:
             return await pool.acquire(rank, deadline, state)
-        waiting = self._waiting.setdefault(pool.endpoint.database, set())
+        waiting = self._primary_waits.setdefault(pool.endpoint.database, set())
         try:
-            async with asyncio.timeout(None) as scope:
-                waiting.add(scope)
+            async with asyncio.timeout(None) as timeout:
+                waiting.add(timeout)
                 try:
                     return await pool.acquire(rank, deadline, state, version=version)
                 finally:
-                    waiting.discard(scope)
+                    waiting.discard(timeout)
         except TimeoutError as error:
             raise connection_pools.PrimaryChangedError from error
 
     def cancel_waiting(self, database: str) -> None:
         """Send work that waits for a primary back to the search for an endpoint."""
         now = asyncio.get_running_loop().time()
-        for scope in self._waiting.pop(database, set()):
-            scope.reschedule(now)
+        for timeout in self._primary_waits.pop(database, set()):
+            timeout.reschedule(now)
 
     def estimate_wait(self, endpoint_id: str) -> float:
         """Return the expected wait for a slot of an endpoint in seconds."""
@@ -197,7 +197,8 @@
     def has_open_writes(self, database: str, version: int) -> bool:
         """Return whether writes run under a version or an earlier one."""
         return any(
-            name == database and number <= version for name, number in self.open_writes
+            name == database and open_version <= version
+            for name, open_version in self.open_writes
         )
 
     def measure_demand(self, *, reset: bool = True) -> dict[str, int]:
@@ -212,8 +213,8 @@
 
     def list_limits(self) -> list[tuple[str, str, str, int]]:
         """Return id, place, region and accepted connections of each endpoint."""
-        current = self.board.configuration
-        limits = current.connections if current is not None else {}
+        configuration = self.board.configuration
+        limits = configuration.connections if configuration is not None else {}
         return [
             (
                 endpoint.id,
@@ -236,16 +237,16 @@
         self.refresh_views()
 
     def _make_view(self, endpoint: catalog.Endpoint):
-        current = self.board.configuration
+        configuration = self.board.configuration
         ranks = {0}
         limit = DEFAULT_CONNECTIONS
-        if current is not None:
-            ranks = {route.rank for route in current.routes.values()} or ranks
-            limit = current.connections.get(endpoint.database, limit)
-        share = self.shares.get(endpoint.id, min(limit, FIRST_SHARE))
+        if configuration is not None:
+            ranks = {route.rank for route in configuration.routes.values()} or ranks
+            limit = configuration.connections.get(endpoint.database, limit)
+        share = self.shares.get(endpoint.id, min(limit, INITIAL_CONNECTIONS))
         return catalog.make_view(
             endpoint.database,
-            current.version if current else 0,
+            configuration.version if configuration else 0,
             endpoint.slots,
             share,
             ranks,
--- a/hyssopshelf/gateway/metrics.py
+++ b/hyssopshelf/gateway/metrics.py
@@ -54,13 +54,13 @@
 
     registry = aioprometheus.Registry()
 
-    def add(name: str, text: str, samples) -> None:
+    def add_metric(name: str, text: str, samples) -> None:
         metric = aioprometheus.Counter(f"hyssopshelf_{name}", text, registry=registry)
         for labels, value in samples:
             metric.set(labels, value)
 
     metrics = gateway.metrics
-    add(
+    add_metric(
         "requests_total",
         "Answered requests by rank and outcome",
         [
@@ -68,48 +68,53 @@
             for (rank, outcome), count in metrics.outcomes.items()
         ],
     )
-    _add_histograms(add, "request_seconds", "Time to the answer", metrics.latencies)
-    _add_histograms(add, "queue_seconds", "Time in queues", metrics.queued)
+    _add_histograms(
+        add_metric, "request_seconds", "Time to the answer", metrics.latencies
+    )
+    _add_histograms(add_metric, "queue_seconds", "Time in queues", metrics.queued)
     connection_pools = list(gateway.connection_pools.items())
     for name, text, read in (
-        ("handshakes_total", "Connections opened", lambda g: g.handshakes),
+        ("handshakes_total", "Connections opened", lambda pool: pool.handshakes),
         ("connections", "Open connections", lambda g: len(g.open_connections)),
-        ("queue_waiting", "Waiting work", lambda g: g.queue.waiting),
-        ("slots_running", "Slots in use", lambda g: g.queue.running),
-        ("connection_share", "Connections allowed", lambda g: g.view.connections),
+        ("queue_waiting", "Waiting work", lambda pool: pool.queue.waiting),
+        ("slots_running", "Slots in use", lambda pool: pool.queue.running),
+        ("connection_share", "Connections allowed", lambda pool: pool.view.connections),
     ):
-        add(
+        add_metric(
             name,
             text,
             [({"endpoint": key}, read(pool)) for key, pool in connection_pools],
         )
-    add(
+    add_metric(
         "endpoint_failures",
         "Failures in a row",
-        [({"endpoint": k}, h.failures) for k, h in gateway.board.health.items()],
+        [
+            ({"endpoint": key}, health.failures)
+            for key, health in gateway.board.health.items()
+        ],
     )
-    current = gateway.board.configuration
-    add(
+    configuration = gateway.board.configuration
+    add_metric(
         "configuration_version",
         "Version in force",
-        [({}, current.version if current else 0)],
+        [({}, configuration.version if configuration else 0)],
     )
     content, _ = renderer.render(registry, ["text/plain"])
     return content
 
 
-def _add_histograms(add, name: str, text: str, histograms: dict) -> None:
+def _add_histograms(add_metric, name: str, text: str, histograms: dict) -> None:
     buckets = []
     sums = []
     counts = []
     for rank, histogram in histograms.items():
-        running = 0
+        cumulative = 0
         bounds = [*(str(bound) for bound in BOUNDS_SECONDS), "+Inf"]
         for bound, count in zip(bounds, histogram.counts, strict=True):
-            running += count
-            buckets.append(({"rank": str(rank), "le": bound}, running))
+            cumulative += count
+            buckets.append(({"rank": str(rank), "le": bound}, cumulative))
         sums.append(({"rank": str(rank)}, histogram.total_seconds))
-        counts.append(({"rank": str(rank)}, running))
-    add(f"{name}_bucket", f"{text}, by bucket", buckets)
-    add(f"{name}_sum", f"{text}, sum", sums)
-    add(f"{name}_count", f"{text}, count", counts)
+        counts.append(({"rank": str(rank)}, cumulative))
+    add_metric(f"{name}_bucket", f"{text}, by bucket", buckets)
+    add_metric(f"{name}_sum", f"{text}, sum", sums)
+    add_metric(f"{name}_count", f"{text}, count", counts)
--- a/hyssopshelf/gateway/probes.py
+++ b/hyssopshelf/gateway/probes.py
@@ -12,11 +12,11 @@
 INTERVAL_SECONDS = 0.1
 """Time between two rounds."""
 
-OBSERVATION_SECONDS = 0.3
+OBSERVATION_AGE_SECONDS = 0.3
 """Age of the newest observation above which the primary is probed; reads that may
 be 1.5 s old then have a position in time after a lost probe."""
 
-PROBE_SECONDS = 0.4
+PROBE_TIMEOUT_SECONDS = 0.4
 """Time for an answer; a round trip and a connection across regions fit."""
 
 FAILING_INTERVAL_SECONDS = 0.25
@@ -48,12 +48,12 @@
                 continue
             if (
                 board.get_positions(database).get_last_time()
-                < now - OBSERVATION_SECONDS
+                < now - OBSERVATION_AGE_SECONDS
             ):
                 due.add(grant.endpoint)
         for endpoint_id, health in board.health.items():
-            last = self._probed_at.get(endpoint_id, 0.0)
-            if health.failures and now - last >= FAILING_INTERVAL_SECONDS:
+            last_probe = self._probed_at.get(endpoint_id, 0.0)
+            if health.failures and now - last_probe >= FAILING_INTERVAL_SECONDS:
                 due.add(endpoint_id)
         for endpoint_id in due - self._probing:
             endpoint = board.endpoints.get(endpoint_id)
@@ -71,7 +71,7 @@
         grant = gateway.board.primary_grants.get(endpoint.database)
         sent_at = clocks.read_clock()
         try:
-            reply = await send_unqueued(gateway, endpoint, None, PROBE_SECONDS)
+            reply = await send_unqueued(gateway, endpoint, None, PROBE_TIMEOUT_SECONDS)
         except endpoint_connections.EndpointConnectionError as error:
             if error.reason != execution.FULL_REASON:
                 endpoint_health.record_failure(health, sent_at, clocks.read_clock())
--- a/hyssopshelf/gateway/routing.py
+++ b/hyssopshelf/gateway/routing.py
@@ -21,7 +21,7 @@
 PRIMARY_PENALTY_SECONDS = 0.015
 """Wait that a read accepts to leave the primary to writes."""
 
-BOUND_MARGIN_SECONDS = 0.15
+STALENESS_MARGIN_SECONDS = 0.15
 """Part of the staleness bound that is left for the way of the request from the
 client to the gateway."""
 
@@ -58,14 +58,14 @@
     known : bool
         False if no position is known to be recent enough.
     """
-    log = board.get_positions(route.database)
-    oldest = now - route.staleness_seconds + BOUND_MARGIN_SECONDS
-    position, _ = log.find_bound(oldest)
+    positions = board.get_positions(route.database)
+    oldest = now - route.staleness_seconds + STALENESS_MARGIN_SECONDS
+    position, _ = positions.find_bound(oldest)
     if position is None:
         return None, False
     if session_position is None or route.read_rule != catalog.ReadRule.OWN_WRITES:
         return position, True
-    translated = log.translate(session_position)
+    translated = positions.translate(session_position)
     if translated is None:
         return None, False
     return max(position, translated), True
@@ -122,7 +122,7 @@
         seconds = SAME_REGION_SECONDS if same_region else OTHER_REGION_SECONDS
     seconds += estimate_wait(endpoint.id)
     if health is not None:
-        seconds += endpoint_health.find_error_cost(health, now)
+        seconds += endpoint_health.compute_error_cost(health, now)
     if not same_region:
         seconds += REGION_PENALTY_SECONDS
     if candidate.primary:
--- a/hyssopshelf/gateway/tests/test_freshness.py
+++ b/hyssopshelf/gateway/tests/test_freshness.py
@@ -5,34 +5,34 @@
 
 from hyssopshelf.gateway import freshness, statements
 
-POSITION = statements.LogPosition
+LogPosition = statements.LogPosition
 
 
 def test_a_bound_covers_all_commits_before_its_time():
-    log = freshness.PrimaryPositions()
-    log.start_term(1)
-    log.add(POSITION(1, 10), 1.0)
-    log.add(POSITION(1, 20), 2.0)
-    log.add(POSITION(1, 30), 3.0)
-    assert log.find_bound(1.5) == (POSITION(1, 20), 2.0)
-    assert log.find_bound(2.0) == (POSITION(1, 20), 2.0)
+    positions = freshness.PrimaryPositions()
+    positions.start_term(1)
+    positions.add(LogPosition(1, 10), 1.0)
+    positions.add(LogPosition(1, 20), 2.0)
+    positions.add(LogPosition(1, 30), 3.0)
+    assert positions.find_bound(1.5) == (LogPosition(1, 20), 2.0)
+    assert positions.find_bound(2.0) == (LogPosition(1, 20), 2.0)
 
 
 def test_no_observation_is_recent_enough():
-    log = freshness.PrimaryPositions()
-    log.add(POSITION(1, 10), 1.0)
-    assert log.find_bound(1.1) == (None, 0.0)
+    positions = freshness.PrimaryPositions()
+    positions.add(LogPosition(1, 10), 1.0)
+    assert positions.find_bound(1.1) == (None, 0.0)
 
 
 def test_positions_of_an_earlier_term_are_translated():
     """A position that a change of primary discarded is in no log any more."""
-    log = freshness.PrimaryPositions()
-    log.start_term(2)
-    assert log.translate(POSITION(1, 99)) is None
-    log.add(POSITION(1, 90), 1.0)
-    log.add(POSITION(2, 91), 2.0)
-    assert log.translate(POSITION(1, 99)) == POSITION(1, 90)
-    assert log.translate(POSITION(2, 95)) == POSITION(2, 95)
+    positions = freshness.PrimaryPositions()
+    positions.start_term(2)
+    assert positions.translate(LogPosition(1, 99)) is None
+    positions.add(LogPosition(1, 90), 1.0)
+    positions.add(LogPosition(2, 91), 2.0)
+    assert positions.translate(LogPosition(1, 99)) == LogPosition(1, 90)
+    assert positions.translate(LogPosition(2, 95)) == LogPosition(2, 95)
 
 
 @hypothesis.given(
@@ -51,7 +51,7 @@
 
     The log grows with time; observations arrive in any order of their sending.
     """
-    log = freshness.PrimaryPositions()
+    positions = freshness.PrimaryPositions()
     truth = []
     time = 0.0
     number = 0
@@ -59,8 +59,8 @@
         time += pause
         number += growth
         truth.append((time, number))
-        log.add(POSITION(1, number), time)
-    position, sent_at = log.find_bound(oldest)
+        positions.add(LogPosition(1, number), time)
+    position, sent_at = positions.find_bound(oldest)
     if position is None:
         return
     assert sent_at >= oldest
--- a/hyssopshelf/gateway/tests/test_retries.py
+++ b/hyssopshelf/gateway/tests/test_retries.py
@@ -165,7 +165,7 @@
         assert [reply.error for reply, _ in answers] == [unknown] + [None] * 11
         assert max(seconds for _, seconds in answers[1:]) < 0.6
         assert serving.connection_pools["one"].queue.waiting == 0
-        assert serving.connection_pools["one"].opening == 0
+        assert serving.connection_pools["one"].pending_checkouts == 0
 
     asyncio.run(scenario())
 
@@ -339,7 +339,7 @@
         for task in asked[1:]:
             task.cancel()
         await asyncio.wait(asked[1:])
-        assert pool.opening == 0
+        assert pool.pending_checkouts == 0
         assert pool.queue.waiting == 0
         await asked[0]
 
--- a/hyssopshelf/gateway/tests/test_routing.py
+++ b/hyssopshelf/gateway/tests/test_routing.py
@@ -9,7 +9,7 @@
     statements,
 )
 
-POSITION = statements.LogPosition
+LogPosition = statements.LogPosition
 NOW = 100.0
 
 
@@ -51,9 +51,9 @@
     board.primary_grants["db"] = blackboard.PrimaryGrant(
         endpoint="p", term=1, version=1, valid_until=NOW + 1
     )
-    log = board.get_positions("db")
-    log.start_term(1)
-    log.add(POSITION(1, 7), NOW - 0.5)
+    positions = board.get_positions("db")
+    positions.start_term(1)
+    positions.add(LogPosition(1, 7), NOW - 0.5)
     return board
 
 
@@ -76,7 +76,7 @@
 
 def test_a_read_goes_to_the_near_replica_with_a_position():
     best = choose(make_board())[0]
-    assert (best.endpoint.id, best.position) == ("near", POSITION(1, 7))
+    assert (best.endpoint.id, best.position) == ("near", LogPosition(1, 7))
 
 
 def test_reads_of_primary_routes_go_to_the_primary_only():
@@ -86,12 +86,14 @@
 
 def test_own_writes_raise_the_position():
     route = make_route(catalog.ReadRule.OWN_WRITES)
-    best = choose(make_board(), route, position=POSITION(1, 9))[0]
-    assert best.position == POSITION(1, 9)
+    best = choose(make_board(), route, position=LogPosition(1, 9))[0]
+    assert best.position == LogPosition(1, 9)
 
 
 def test_bounded_reads_ignore_own_writes():
-    assert choose(make_board(), position=POSITION(1, 9))[0].position == POSITION(1, 7)
+    assert choose(make_board(), position=LogPosition(1, 9))[0].position == LogPosition(
+        1, 7
+    )
 
 
 def test_no_replica_is_used_without_a_recent_observation():
@@ -188,16 +190,16 @@
 def test_a_lagging_replica_is_asked_rarely_and_used_again_soon():
     """Reads of a second do not each ask a replica that is three seconds behind."""
     board = make_board()
-    log = board.get_positions("db")
+    positions = board.get_positions("db")
     refused = 0
     used_at = None
     for step in range(600):
         now = NOW + step / 100
-        log.add(POSITION(1, 8 + step), now - 0.2)
+        positions.add(LogPosition(1, 8 + step), now - 0.2)
         board.primary_grants["db"] = blackboard.PrimaryGrant(
             endpoint="p", term=1, version=1, valid_until=now + 1
         )
-        held = POSITION(1, 7 + max(0, step - 300) if step < 500 else 8 + step)
+        held = LogPosition(1, 7 + max(0, step - 300) if step < 500 else 8 + step)
         candidates = routing.list_candidates(
             board, make_route(), None, lambda _: 0.0, set(), now
         )
@@ -206,7 +208,7 @@
             continue
         health = board.get_health("near")
         if held >= near.position:
-            endpoint_health.end_lag(health)
+            endpoint_health.clear_lag(health)
             if step >= 500:
                 used_at = used_at or now
         else:
@@ -219,8 +221,8 @@
 
 def test_a_lagging_replica_serves_reads_that_need_less():
     board = make_board()
-    endpoint_health.record_lag(board.get_health("near"), POSITION(1, 7), NOW)
+    endpoint_health.record_lag(board.get_health("near"), LogPosition(1, 7), NOW)
     assert choose(board)[0].endpoint.id == "near"
     route = make_route(catalog.ReadRule.OWN_WRITES)
-    found = choose(board, route, position=POSITION(1, 9))
+    found = choose(board, route, position=LogPosition(1, 9))
     assert "near" not in [c.endpoint.id for c in found]
