--- a/hyssopshelf/gateway/__init__.py
+++ b/hyssopshelf/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The database gateway: client sessions on pooled connections to endpoints."""
+"""Database gateway: multiplexes client sessions over pooled endpoint connections."""
--- a/hyssopshelf/gateway/blackboard.py
+++ b/hyssopshelf/gateway/blackboard.py
@@ -1,4 +1,4 @@
-"""The gateway's blackboard: what its controllers read and write."""
+"""Shared state of a gateway node, which its controllers read and write."""
 
 import attrs
 
@@ -7,16 +7,18 @@
 
 @attrs.frozen(kw_only=True)
 class PrimaryGrant:
-    """The belief that an endpoint is the primary of its database.
+    """Time-limited right to use an endpoint as the primary of its database.
 
     Attributes
     ----------
+    endpoint : str
+        Id of the primary.
     term : int
-        Term in which it leads.
+        Term in which the endpoint is the primary.
     version : int
-        Version of the assignment; a later one replaces it.
+        Version of the assignment; a higher one replaces it.
     valid_until : float
-        Time up to which no other endpoint can have been promoted.
+        Clock time of expiry, in seconds; no other endpoint is promoted before.
     """
 
     endpoint: str
@@ -27,30 +29,33 @@
 
 @attrs.define(kw_only=True)
 class EndpointHealth:
-    """What answers and connection attempts show of an endpoint.
+    """Health of an endpoint, derived from its answers and failures.
+
+    Times are readings of the clock, in seconds.
 
     Attributes
     ----------
     failures : int
-        Failures in a row.
+        Consecutive failures to connect or to answer.
     failing_since : float or None
-        Time of the first of them.
+        Time of the first of these failures; None without failures.
     avoid_until : float
-        Time up to which other endpoints are preferred.
+        Time until which other endpoints are preferred.
     latency : float
-        Moving average of the time from sending to the answer, in seconds.
+        Moving average of the response time, in seconds; 0 without a sample.
     answered_at : float
         Time of the last answer.
     error_share : float
-        Moving share of statements that ran and failed or broke.
+        Moving average of the share of statements that failed or lost their
+        connection.
     error_share_at : float
-        Time of the last such statement.
+        Time of the last update of ``error_share``.
     lag_position : LogPosition or None
-        Position of its log when it last refused a read because it lags.
-    refusals : int
-        Such refusals in a row.
-    lags_until : float
-        Time up to which reads that need more than ``lag_position`` go elsewhere.
+        End of the replica's log when it last refused a read because it lags.
+    lag_refusals : int
+        Consecutive reads refused because of lag.
+    lagging_until : float
+        Time until which reads beyond ``lag_position`` go to other endpoints.
     """
 
     failures: int = 0
@@ -67,12 +72,12 @@
 
 @attrs.define(kw_only=True)
 class GatewayBlackboard:
-    """State of one gateway.
+    """State that the controllers of a gateway node share.
 
     Attributes
     ----------
     place, region : str
-        Where this host stands.
+        Place and region of this host.
     regions : dict of str to str
         Region of each place.
     configuration : Configuration or None
@@ -80,15 +85,18 @@
     endpoints : dict of str to Endpoint
         Registered endpoints by id.
     primary_grants : dict of str to PrimaryGrant
-        Believed primaries by database.
+        Latest grant of each database; it may have expired.
     primary_positions : dict of str to PrimaryPositions
-        Observed positions by database.
+        Observed log positions of the primary, by database.
     health : dict of str to EndpointHealth
-        Judgement of endpoints by id.
-    isolated : bool
-        Whether this node reaches no coordinator, so it cannot learn of a primary.
+        Health of endpoints by id.
     releasing : set of str
         Databases whose primary takes no new work because it is being replaced.
+    draining : bool
+        Whether this node is shutting down and finishes open work.
+    isolated : bool
+        Whether this node reaches no coordinator, so it cannot learn of a primary;
+        requests for one are refused instead of waiting.
     """
 
     place: str
@@ -104,15 +112,15 @@
     isolated: bool = False
 
     def get_positions(self, database: str) -> freshness.PrimaryPositions:
-        """Return the observations of a database."""
+        """Return the log positions of a database's primary, created on demand."""
         return self.primary_positions.setdefault(database, freshness.PrimaryPositions())
 
     def get_health(self, endpoint: str) -> EndpointHealth:
-        """Return the judgement of an endpoint."""
+        """Return the health of an endpoint, created on demand."""
         return self.health.setdefault(endpoint, EndpointHealth())
 
     def find_primary(self, database: str, now: float) -> catalog.Endpoint | None:
-        """Return the primary if the belief in it is valid."""
+        """Return the primary, or None if its grant expired or it is being replaced."""
         grant = self.primary_grants.get(database)
         if grant is None or grant.valid_until <= now or database in self.releasing:
             return None
--- a/hyssopshelf/gateway/catalog.py
+++ b/hyssopshelf/gateway/catalog.py
@@ -1,23 +1,28 @@
-"""What the gateway serves: routes, databases, endpoints and limits."""
+"""Configuration of the gateway: routes, databases, endpoints and limits."""
 
 import attrs
 
 from hyssopshelf.configuration import resources, views
 
 DEFAULT_PARTNER = "shared"
-"""Partner of all work while the operator declares no partners."""
+"""Partner that all work belongs to while the operator declares no partners."""
 
 QUEUE_LIMIT = 64
-"""Statements of a rank that wait for one endpoint at one node at most; above
-that the expected wait exceeds the statement timeouts of all known routes."""
+"""Maximum number of statements of one rank that wait for an endpoint at one node;
+with more, the expected wait exceeds the statement timeouts of all known routes."""
 
 LOW_RANK_FLOOR = 0.08
-"""Part of an endpoint's service that each rank below the first keeps while more
-urgent work floods in."""
+"""Minimum share of an endpoint's slot time for each rank below the first while
+more urgent work saturates the endpoint."""
 
 
 class ReadRule:
-    """Which data the reads of a route may see."""
+    """Consistency of a route's reads.
+
+    ``PRIMARY`` reads run at the primary. ``BOUNDED`` reads may run on a replica
+    within the staleness bound. ``OWN_WRITES`` reads also see the writes of their
+    session.
+    """
 
     PRIMARY = "primary"
     BOUNDED = "bounded"
@@ -26,24 +31,24 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """How the sessions of one name are served.
+    """Service of the sessions that connect to one database name.
 
     Attributes
     ----------
     name : str
-        Database name that clients ask for.
+        Database name that clients connect to.
     database : str
-        Group of endpoints that serves it.
+        Database whose endpoints serve it.
     read_rule : str
         A constant of ReadRule.
     staleness_seconds : float
-        Greatest age of the data that a read outside the primary may see.
+        Maximum age of the data that a read on a replica may see.
     statement_seconds : float
-        Longest time for one statement.
+        Timeout of one statement.
     objective_seconds : float
-        Intended time for a whole operation.
+        Latency objective of a whole operation.
     rank : int
-        Urgency, 0 first.
+        Priority; 0 is the most urgent.
     """
 
     name: str
@@ -70,7 +75,19 @@
 
 @attrs.frozen(kw_only=True)
 class Configuration:
-    """One version of the operator's configuration."""
+    """One version of the operator's configuration.
+
+    Attributes
+    ----------
+    version : int
+        Version; a higher one replaces it.
+    routes : dict of str to Route
+        Routes by name.
+    connections : dict of str to int
+        Connections that each endpoint of a database accepts, by database.
+    limits : Limits
+        Limits on clients.
+    """
 
     version: int
     routes: dict[str, Route]
@@ -80,16 +97,20 @@
 
 @attrs.frozen(kw_only=True)
 class Endpoint:
-    """An endpoint as the registry describes it.
+    """Registry entry of an endpoint.
 
     Attributes
     ----------
-    started : int
-        Start of this incarnation, Unix time in milliseconds.
+    address : str
+        Host and port, separated by a colon.
     slots : int
-        Statements that it runs at the same time.
+        Statements that it runs concurrently.
+    leaving : bool
+        Whether it is draining, so that other endpoints are preferred.
     leads : bool
         Whether it reports itself as the primary.
+    started : int
+        Start of this incarnation, Unix time in milliseconds.
     """
 
     id: str
@@ -105,7 +126,17 @@
 def make_view(
     database: str, version: int, slots: int, connections: int, ranks: set[int]
 ) -> views.PoolView:
-    """Return the scheduler's view of an endpoint."""
+    """Return the limits and ranks of an endpoint's queue for the scheduler.
+
+    Parameters
+    ----------
+    version : int
+        Version of the configuration.
+    slots : int
+        Statements that the endpoint runs concurrently.
+    connections : int
+        Connections that this node may open.
+    """
     return views.PoolView(
         pool=database,
         version=version,
@@ -127,5 +158,5 @@
 
 
 def get_rank_name(rank: int) -> str:
-    """Return the scheduler's name of a rank."""
+    """Return the name under which the scheduler knows a rank."""
     return f"rank-{rank}"
--- a/hyssopshelf/gateway/freshness.py
+++ b/hyssopshelf/gateway/freshness.py
@@ -1,10 +1,10 @@
-"""Lower bounds on the primary's log that make reads on replicas fresh enough.
+"""Log positions of the primary that bound the staleness of replica reads.
 
 An observation (time, position) states that every commit acknowledged before
 the time is at or before the position. It comes from an answer of the primary
-to a message sent at that time. A read that may be ``s`` seconds old is right on
-any endpoint whose log contains the position of an observation that is at most
-``s`` seconds old.
+to a message sent at that time. A read with a staleness bound of ``s`` seconds
+may run on any endpoint whose log contains the position of an observation that
+is at most ``s`` seconds old.
 """
 
 import collections
@@ -14,24 +14,26 @@
 from hyssopshelf.gateway import statements
 
 KEPT_SECONDS = 10.0
-"""Age up to which observations are kept, above all known staleness bounds."""
+"""Age up to which observations are kept; longer than all known staleness bounds."""
 
 SPACING_SECONDS = 0.05
-"""Least time between two kept observations; closer ones replace the last."""
+"""Minimum time between two kept observations; a closer one replaces the last."""
 
 
 @attrs.define(kw_only=True)
 class PrimaryPositions:
-    """Observations of one database's log in the term of one primary.
+    """Observed log positions of one database's primary during one term.
 
     Attributes
     ----------
     term : int
         Term that the observations belong to.
-    first : LogPosition or None
-        First position seen in the term. It contains all that the term took
-        over, so it stands for positions of earlier terms.
-    latest_own : (float, LogPosition) or None
+    first_position : LogPosition or None
+        Lowest position observed in the term. The log up to it contains all
+        commits that the term took over from earlier terms.
+    observations : deque of (float, LogPosition)
+        Sending time and position of each observation, in ascending order.
+    latest_local : (float, LogPosition) or None
         Newest observation that this node made itself.
     """
 
@@ -41,20 +43,28 @@
     latest_local: tuple[float, statements.LogPosition] | None = None
 
     def start_term(self, term: int) -> None:
-        """Forget the observations of earlier terms."""
+        """Discard the observations of earlier terms and start a new term."""
         self.term = term
         self.first_position = None
         self.latest_local = None
         self.observations.clear()
 
     def add_local(self, position: statements.LogPosition, sent_at: float) -> None:
-        """Add an observation of this node, which it reports to others."""
+        """Add an observation of this node, which also reports it to the others."""
         self.add(position, sent_at)
         if self.latest_local is None or sent_at > self.latest_local[0]:
             self.latest_local = (sent_at, position)
 
     def add(self, position: statements.LogPosition, sent_at: float) -> None:
-        """Add that the primary held a position after a message sent at a time."""
+        """Add an observation of any node; one that is not the newest is ignored.
+
+        Parameters
+        ----------
+        position : LogPosition
+            Position in the primary's answer.
+        sent_at : float
+            Clock time at which the message to the primary was sent, in seconds.
+        """
         if self.first_position is None or position < self.first_position:
             self.first_position = position
         observations = self.observations
@@ -70,14 +80,19 @@
             observations.popleft()
 
     def find_bound(self, oldest: float) -> tuple[statements.LogPosition | None, float]:
-        """Return the least position that covers commits before ``oldest``.
+        """Return the lowest position that covers all commits before a time.
+
+        Parameters
+        ----------
+        oldest : float
+            Clock time, in seconds; older observations are not used.
 
         Returns
         -------
         position : LogPosition or None
             None if no observation is recent enough.
         time : float
-            Time of the observation.
+            Sending time of the observation, 0 without one.
         """
         for sent_at, position in self.observations:
             if sent_at >= oldest:
@@ -85,20 +100,26 @@
         return None, 0.0
 
     def get_last_time(self) -> float:
-        """Return the time of the newest observation."""
+        """Return the time of the newest observation, negative infinity without one."""
         return self.observations[-1][0] if self.observations else float("-inf")
 
     def get_last_position(self) -> statements.LogPosition | None:
-        """Return the newest observed position."""
+        """Return the newest observed position, or None without observations."""
         return self.observations[-1][1] if self.observations else None
 
     def translate(
         self, position: statements.LogPosition | None
     ) -> statements.LogPosition | None:
-        """Return a position of this term that stands for one of a session.
+        """Return the position of this term that covers a session's position.
+
+        The end of an earlier term's log may have been discarded when the primary
+        changed. What was kept of it lies before the first position of this term.
 
-        A position of an earlier term may have been discarded by the change of
-        primary; what was kept of it is before the first position of the term.
+        Returns
+        -------
+        LogPosition or None
+            The position itself unless its term is earlier; None for no position,
+            or if no position of this term was observed yet.
         """
         if position is None or position.term >= self.term:
             return position
--- a/hyssopshelf/gateway/tests/test_freshness.py
+++ b/hyssopshelf/gateway/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Tests of the lower bounds that make replica reads fresh enough."""
+"""Tests of the log positions that bound the staleness of replica reads."""
 
 import hypothesis
 from hypothesis import strategies
@@ -25,7 +25,7 @@
 
 
 def test_positions_of_an_earlier_term_are_translated():
-    """A position that a change of primary discarded is in no log any more."""
+    """Guards against waiting for a position that a change of primary discarded."""
     positions = freshness.PrimaryPositions()
     positions.start_term(2)
     assert positions.translate(LogPosition(1, 99)) is None
@@ -47,22 +47,22 @@
     strategies.floats(min_value=0, max_value=20),
 )
 def test_merged_observations_never_give_a_bound_that_is_too_low(steps, oldest):
-    """Compares with the log itself: a commit before the bound's time is covered.
+    """Compare bounds with the log: commits before a bound's time are covered.
 
-    The log grows with time; observations arrive in any order of their sending.
+    The log grows with time, by random steps after random pauses.
     """
     positions = freshness.PrimaryPositions()
-    truth = []
+    commits = []
     time = 0.0
     number = 0
     for pause, growth in steps:
         time += pause
         number += growth
-        truth.append((time, number))
+        commits.append((time, number))
         positions.add(LogPosition(1, number), time)
     position, sent_at = positions.find_bound(oldest)
     if position is None:
         return
     assert sent_at >= oldest
-    covered = [0] + [n for at, n in truth if at < sent_at]
+    covered = [0] + [n for at, n in commits if at < sent_at]
     assert position.number >= max(covered)
