--- a/hyssopshelf/gateway/connection_pools.py
+++ b/hyssopshelf/gateway/connection_pools.py
@@ -1,4 +1,8 @@
-"""The way to one endpoint: queue, slots and pooled connections."""
+"""Connection pool of one endpoint: its queue, slots and connections at a node.
+
+Work waits in the queue, by rank and deadline, until a slot and a connection are
+free. A transaction keeps its connection and waits for a slot only.
+"""
 
 import asyncio
 import itertools
@@ -10,30 +14,30 @@
 from hyssopshelf.scheduling import queues, work
 
 CONNECT_TIMEOUT_SECONDS = 0.5
-"""Time for a new connection: a handshake takes about 12 ms and a round trip
-between regions 24 ms; a full queue of slots may come before it."""
+"""Timeout of a new connection. A handshake takes about 12 ms and a round trip
+between regions 24 ms, and it may wait behind work for the endpoint's slots."""
 
 REFUSED_PAUSE_SECONDS = 0.2
-"""Pause after an endpoint refused a connection because it has too many."""
+"""Pause before new connections after an endpoint refused one as too many."""
 
 IDLE_SECONDS = 5.0
-"""Time after which an unused connection is closed. An endpoint counts connections
-of a host that lost power for some seconds, so the rest of its limit must do for the
-restart."""
+"""Idle time after which a connection is closed. For some seconds an endpoint still
+counts the connections of a host that lost power, so the restarted host has to do
+with the rest of the limit."""
 
 EXPIRY_INTERVAL_SECONDS = 0.05
-"""Time between two searches for waiting work that is too late, in seconds."""
+"""Interval of the removal of work that cannot start before its deadline."""
 
 _ids = itertools.count(1)
 
 
 class RefusalError(Exception):
-    """The work did not run and is not waiting any more.
+    """The work did not run and left the queue.
 
     Parameters
     ----------
     kind : ErrorKind
-        Kind for the caller.
+        Kind of the error for the client.
     reason : str
         Explanation for the log.
     """
@@ -45,12 +49,12 @@
 
 
 class PrimaryChangedError(Exception):
-    """The work waits no more because its endpoint is replaced as the primary."""
+    """The wait ended because the endpoint is being replaced as the primary."""
 
 
 @attrs.define(kw_only=True)
 class Checkout:
-    """A slot of an endpoint, with the connection that uses it."""
+    """A slot of an endpoint and the connection that uses it."""
 
     work_id: str
     connection: endpoint_connections.EndpointConnection | None
@@ -64,9 +68,25 @@
     endpoint : Endpoint
         The endpoint.
     codec : object
-        Codec of its protocol.
+        Codec of the endpoint's protocol.
     view : PoolView
-        Ranks, slots and connections in force.
+        Ranks and limits of slots and connections in force.
+
+    Attributes
+    ----------
+    idle : list of EndpointConnection
+        Connections that no work uses, the last used one at the end.
+    open_connections : set of EndpointConnection
+        All connections that count against the limit: idle, in use, or being
+        opened.
+    pending_checkouts : int
+        Work that has got its slot and not yet its connection.
+    refused_until : float
+        Clock time until which no new connections are opened, in seconds.
+    handshakes : int
+        Attempts to open a connection.
+    peak_demand : int
+        Peak of connections in use and waiting work since the last reset.
     """
 
     def __init__(self, *, endpoint, codec, view) -> None:
@@ -85,14 +105,24 @@
         self._expiry: asyncio.TimerHandle | None = None
 
     def estimate_wait(self, latency: float) -> float:
-        """Return the expected wait of new work in seconds."""
+        """Return the expected wait of new work for a slot, in seconds.
+
+        Parameters
+        ----------
+        latency : float
+            Average response time of the endpoint, in seconds.
+        """
         ahead = self.queue.waiting + self.queue.running
         if ahead < self.view.slots:
             return 0.0
         return (ahead + 1 - self.view.slots) * latency / self.view.slots
 
     def measure_demand(self, *, reset: bool) -> int:
-        """Return the peak of connections in use and wanted."""
+        """Return the peak number of connections that this node could use.
+
+        Connections in use and waiting work count. With ``reset`` a new measurement
+        of the peak starts.
+        """
         idle = sum(1 for connection in self.idle if not connection.closed)
         current = len(self.open_connections) - idle + self.queue.waiting
         peak = max(self.peak_demand, current)
@@ -110,12 +140,23 @@
     ) -> Checkout:
         """Wait for a slot and a connection.
 
-        ``version`` is for pools of other hosts' connections; the caller checks it.
+        Parameters
+        ----------
+        rank : int
+            Priority, 0 first.
+        deadline : float
+            Clock time until which the work has to end, in seconds.
+        session : SessionState
+            State that the connection should match as closely as possible.
+        connection : EndpointConnection or None
+            Connection of an open transaction, which then needs a slot only.
+        version : int
+            Not used; pools of connections at other nodes need it.
 
         Raises
         ------
         RefusalError
-            If the work cannot start in time.
+            If the queue refuses the work or it cannot start in time.
         EndpointConnectionError
             If no connection could be opened.
         """
@@ -163,12 +204,12 @@
         return checkout
 
     def release_slot(self, checkout: Checkout) -> None:
-        """Give the slot back."""
+        """Release the slot of a checkout and start waiting work."""
         self.queue.finish(checkout.work_id, clocks.read_clock())
         self.start_waiting()
 
     def take_idle(self) -> endpoint_connections.EndpointConnection | None:
-        """Return an idle connection, None without one."""
+        """Remove and return an idle connection, or return None if there is none."""
         while self.idle:
             connection = self.idle.pop()
             if not connection.closed:
@@ -179,13 +220,13 @@
     def add_connection(
         self, connection: endpoint_connections.EndpointConnection
     ) -> None:
-        """Count a connection that was opened outside the queue."""
+        """Count a connection that was opened without a checkout."""
         self.open_connections.add(connection)
 
     def release_connection(
         self, connection: endpoint_connections.EndpointConnection
     ) -> None:
-        """Give a connection back to the pool."""
+        """Return a connection to the pool, or close it if it cannot be reused."""
         if connection.closed or self.closed or self.endpoint.leaving:
             self.discard_connection(connection)
             return
@@ -195,7 +236,7 @@
     def discard_connection(
         self, connection: endpoint_connections.EndpointConnection
     ) -> None:
-        """Close a connection and forget it."""
+        """Close a connection and remove it from the pool."""
         connection.close()
         self.open_connections.discard(connection)
         if connection in self.idle:
@@ -203,7 +244,7 @@
         self.start_waiting()
 
     def start_waiting(self) -> None:
-        """Start waiting work while slots and connections are free."""
+        """Start waiting work as long as slots and connections are free."""
         now = clocks.read_clock()
         while True:
             fresh = self._count_available(now) > 0
@@ -219,12 +260,20 @@
             waiter.set_result(None)
 
     def close_surplus(self, now: float) -> None:
-        """Close unused connections beyond the share, and long unused ones."""
+        """Close idle connections beyond this node's share, and those idle for long."""
         self.close_idle(self.view.connections, now)
         self.close_idle(1, now - IDLE_SECONDS)
 
     def close_idle(self, kept: int, before: float) -> None:
-        """Close unused connections beyond a number."""
+        """Close idle connections as long as more than a number are open.
+
+        Parameters
+        ----------
+        kept : int
+            Number of open connections to keep.
+        before : float
+            Clock time in seconds; connections used later stay open.
+        """
         self.idle = [connection for connection in self.idle if not connection.closed]
         for connection in list(self.idle):
             if len(self.open_connections) <= kept or connection.used_at > before:
@@ -232,22 +281,21 @@
             self.discard_connection(connection)
 
     def close(self) -> None:
-        """Refuse waiting work and close unused connections."""
+        """Refuse waiting work and close idle connections."""
         self.closed = True
         for item_id, waiter in list(self._waiters.items()):
             if not waiter.done() and self.queue.discard(item_id):
                 waiter.set_exception(
-                    RefusalError(exceptions.ErrorKind.UNAVAILABLE, "endpoint is gone")
+                    RefusalError(
+                        exceptions.ErrorKind.UNAVAILABLE,
+                        "endpoint was removed or restarted",
+                    )
                 )
         for connection in list(self.idle):
             self.discard_connection(connection)
 
     def _count_available(self, now: float) -> int:
-        """Return for how many new work items there is a connection.
-
-        ``opening`` counts work that was started and has not taken its connection
-        yet, out of the idle ones or a new one.
-        """
+        """Return how many more work items can get a connection, idle or new."""
         idle = sum(1 for connection in self.idle if not connection.closed)
         new = 0
         if now >= self.refused_until:
@@ -257,14 +305,14 @@
     async def _take_connection(
         self, session: session_state.SessionState
     ) -> endpoint_connections.EndpointConnection:
-        """Return the idle connection that fits best, or a new one.
+        """Return the idle connection that needs the least setup, or a new one.
 
-        The caller has reserved it by ``opening``.
+        The caller has counted the work in ``pending_checkouts``; this ends it.
         """
         try:
             best = None
             best_cost = 0
-            # The last used ones first, so that a surplus stays unused and is closed.
+            # Last used first, so that surplus connections stay idle and are closed.
             for connection in reversed(self.idle):
                 if connection.closed:
                     continue
@@ -319,5 +367,5 @@
 
 
 def _is_started(waiter: asyncio.Future) -> bool:
-    """Return whether work was started, not refused or still waiting."""
+    """Return whether work was started; not if it was refused or still waits."""
     return waiter.done() and not waiter.cancelled() and waiter.exception() is None
--- a/hyssopshelf/gateway/endpoint_connections.py
+++ b/hyssopshelf/gateway/endpoint_connections.py
@@ -1,4 +1,8 @@
-"""One connection to an endpoint."""
+"""Connections to endpoints, with one exchange of messages at a time.
+
+A peer can vanish without a reset, for example when its host loses power, so TCP
+timeouts are set short.
+"""
 
 import asyncio
 import socket
@@ -7,18 +11,17 @@
 from hyssopshelf.gateway import session_state, statements
 
 USER_TIMEOUT_MILLISECONDS = 2000
-"""Time after which the system gives up a connection whose peer acknowledges
-nothing, in milliseconds."""
+"""Time after which the kernel closes a connection with unacknowledged data."""
 
 KEEPALIVE_SECONDS = 1
-"""Idle time before and between keep-alive probes, in seconds."""
+"""Idle time before the first keep-alive probe and between probes."""
 
 KEEPALIVE_PROBES = 3
-"""Unanswered probes after which a connection is given up."""
+"""Unanswered keep-alive probes after which the kernel closes a connection."""
 
 
 def tune_socket(transport: asyncio.BaseTransport) -> None:
-    """Make a connection notice a peer that is gone without a reset."""
+    """Disable Nagle's algorithm and detect a peer that vanished without a reset."""
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -36,11 +39,11 @@
     Parameters
     ----------
     reason : str
-        What was observed.
+        Cause, for the log.
     sent : bool
         Whether the message may have reached the endpoint.
     endpoint_fault : bool
-        Whether it tells about the endpoint, not about a host on the way.
+        Whether the endpoint is at fault, not a node that forwards to it.
     """
 
     def __init__(
@@ -65,11 +68,11 @@
     Attributes
     ----------
     state : ConnectionState
-        Values and prepared statements that the connection holds.
+        Values and prepared statements that the endpoint holds for the connection.
     used_at : float
-        Time of the last exchange.
+        Clock time of the start of the last exchange, in seconds.
     direct : bool
-        Whether this node holds the connection itself.
+        Whether the connection is this node's own, not one at another node.
     """
 
     def __init__(self, *, endpoint, codec) -> None:
@@ -87,12 +90,12 @@
         self._waiter: asyncio.Future | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and set the socket options."""
         self._transport = transport
         tune_socket(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Collect replies; the exchange ends with the last expected one."""
+        """Collect replies and end the exchange after the last expected one."""
         lines = (self._buffer + data).split(b"\r\n")
         self._buffer = lines.pop()
         if len(self._buffer) > self.codec.maximum_bytes:
@@ -105,13 +108,21 @@
             self._fail(str(error))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the exchange under way."""
+        """Fail the exchange in progress."""
         self._fail(repr(exc) if exc else "closed by the endpoint")
 
     def exchange(self, data: bytes, replies: int) -> asyncio.Future:
-        """Send messages; the future holds their replies in order.
+        """Send messages and return a future with the list of their replies.
 
         The future fails with EndpointConnectionError if the connection ends first.
+        No other exchange may be in progress.
+
+        Parameters
+        ----------
+        data : bytes
+            Encoded messages.
+        replies : int
+            Number of replies to wait for.
         """
         waiter = asyncio.get_running_loop().create_future()
         self.used_at = clocks.read_clock()
@@ -127,12 +138,28 @@
     async def run(
         self, state: session_state.SessionState, shape, build_message, deadline: float
     ) -> statements.Reply:
-        """Correct the session state, send one message and return its reply.
+        """Synchronize the session state, send one message and return its reply.
+
+        The messages that set the state go out together with the statement, so
+        that they cost no further round trip.
+
+        Parameters
+        ----------
+        state : SessionState
+            Values that the statement needs on the connection.
+        shape : Shape or None
+            Prepared statement that it executes.
+        build_message : callable
+            Takes the name of the prepared statement, empty without one, and
+            returns the message.
+        deadline : float
+            Clock time in seconds.
 
         Raises
         ------
         EndpointConnectionError
-            If the connection ended or did not answer in time; it is closed.
+            If the connection ended, the state could not be set, or no answer came
+            in time; the connection is closed.
         """
         codec = self.codec
         session_setup = session_state.synchronize(self.state, state, shape)
@@ -165,7 +192,7 @@
         return replies[-1]
 
     def close(self) -> None:
-        """Close the connection; an open transaction rolls back."""
+        """Close the connection, which rolls back an open transaction."""
         self._fail("closed by the gateway")
 
     def _receive(self, line: bytes) -> None:
@@ -184,7 +211,7 @@
             return
         self.closed = True
         if self._reply.error is not None and not self._replies:
-            # A refused start is an error line followed by a close.
+            # The endpoint refuses a session by an error line and a close.
             reason = self._reply.error.value
         if self._transport is not None:
             self._transport.close()
@@ -196,10 +223,15 @@
 async def open_connection(endpoint, codec, seconds: float) -> EndpointConnection:
     """Connect to an endpoint and start a session there.
 
+    Parameters
+    ----------
+    seconds : float
+        Timeout of connecting and starting together.
+
     Raises
     ------
     EndpointConnectionError
-        If the endpoint refuses or does not answer in time.
+        If the endpoint cannot be reached, refuses, or does not answer in time.
     """
     host, _, port = endpoint.address.rpartition(":")
     loop = asyncio.get_running_loop()
@@ -212,7 +244,7 @@
             )
     except TimeoutError as error:
         connection.close()
-        raise EndpointConnectionError("no answer to the start") from error
+        raise EndpointConnectionError("session start timed out") from error
     except OSError as error:
         raise EndpointConnectionError(repr(error)) from error
     except asyncio.CancelledError:
