--- a/hyssopshelf/gateway/gateway.py
+++ b/hyssopshelf/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway of one node: its blackboard, connection pools and waiting requests."""
+"""Gateway of one node: its shared state, connection pools and waiting requests."""
 
 import asyncio
 import contextlib
@@ -14,17 +14,18 @@
 )
 
 INITIAL_CONNECTIONS = 1
-"""Connections that a node opens to an endpoint before it knows its share."""
+"""Connections that a node may open to an endpoint before it knows its share."""
 
 RESERVED_CONNECTIONS = 1
-"""Connections to each endpoint that stay free for the coordinator's questions."""
+"""Connections to each endpoint that are kept for the coordinator's status queries
+and commands."""
 
 DEFAULT_CONNECTIONS = 4
-"""Connections to an endpoint whose database has no declared limit."""
+"""Connections that an endpoint accepts if its database declares no limit."""
 
 
 class Gateway:
-    """Owns the connection pools and tells waiting requests about changes.
+    """Owns the connection pools and notifies waiting requests of changes.
 
     Parameters
     ----------
@@ -32,6 +33,15 @@
         State that controllers share.
     endpoint_codec : object
         Codec of the endpoints' protocol.
+
+    Attributes
+    ----------
+    shares : dict of str to int
+        Connections that this node may open, by endpoint.
+    forwarder : Forwarder or None
+        Forwards work to nodes that hold connections for others.
+    open_writes : dict of (str, int) to int
+        Running writes by database and version of its assignment.
     """
 
     def __init__(self, *, board: blackboard.GatewayBlackboard, endpoint_codec) -> None:
@@ -47,7 +57,7 @@
         self._primary_waits: dict[str, set[asyncio.Timeout]] = {}
 
     def get_pool(self, endpoint: catalog.Endpoint):
-        """Return the way to an endpoint, through a holder where there is one."""
+        """Return the pool of an endpoint, a remote one if other nodes hold it."""
         forwarder = self.forwarder
         if forwarder is not None and forwarder.is_forwarded(endpoint.id):
             return forwarding.RemotePool(endpoint=endpoint, forwarder=forwarder)
@@ -74,7 +84,13 @@
         return pool
 
     def apply_configuration(self, configuration: catalog.Configuration) -> bool:
-        """Put a configuration in force unless it is older; return whether it was."""
+        """Put a configuration in force.
+
+        Returns
+        -------
+        bool
+            False if the version in force is as new or newer; nothing changes then.
+        """
         current = self.board.configuration
         if current is not None and configuration.version <= current.version:
             return False
@@ -88,7 +104,7 @@
         return True
 
     def apply_endpoints(self, endpoints: dict[str, catalog.Endpoint]) -> None:
-        """Replace the registered endpoints."""
+        """Replace the registered endpoints and close the pools of removed ones."""
         previous = self.board.endpoints
         if endpoints == previous:
             return
@@ -122,18 +138,18 @@
         self.notify()
 
     def refresh_views(self) -> None:
-        """Bring limits and ranks of all pools up to date."""
+        """Update the limits and ranks of all pools."""
         for pool in self.connection_pools.values():
             pool.view = self._make_view(pool.endpoint)
             pool.start_waiting()
 
     def notify(self) -> None:
-        """Wake the requests that wait for a change of the board."""
+        """Wake the requests that wait for a change of the blackboard."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def wait_for_change(self, deadline: float) -> None:
-        """Wait until the board changes, at most to a deadline."""
+        """Wait until the blackboard changes or a deadline passes."""
         changed = self._changed
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, deadline - clocks.read_clock())):
@@ -142,17 +158,18 @@
     async def acquire_from(
         self, pool, rank: int, deadline: float, state, *, version: int
     ) -> connection_pools.Checkout:
-        """Wait for a slot and a connection as long as the endpoint may be used.
+        """Wait for a slot and a connection while the endpoint stays the primary.
 
         Parameters
         ----------
         version : int
-            Version of the belief in the primary that the work needs, 0 for none.
+            Version of the primary's assignment under which the work runs; 0 for
+            work at a replica, which a change of primary does not end.
 
         Raises
         ------
         PrimaryChangedError
-            If another endpoint becomes the primary first.
+            If the primary is replaced first.
         RefusalError, EndpointConnectionError
             As :meth:`connection_pools.ConnectionPool.acquire`.
         """
@@ -170,7 +187,10 @@
             raise connection_pools.PrimaryChangedError from error
 
     def cancel_waiting(self, database: str) -> None:
-        """Send work that waits for a primary back to the search for an endpoint."""
+        """End the waits for a slot of a database's primary, which is being replaced.
+
+        The waiting work then chooses an endpoint anew.
+        """
         now = asyncio.get_running_loop().time()
         for timeout in self._primary_waits.pop(database, set()):
             timeout.reschedule(now)
@@ -183,19 +203,19 @@
         return pool.estimate_wait(self.board.get_health(endpoint_id).latency)
 
     def start_write(self, database: str, version: int) -> None:
-        """Count a write that runs at a primary under a version of its assignment."""
+        """Count a write that starts under a version of the primary's assignment."""
         key = (database, version)
         self.open_writes[key] = self.open_writes.get(key, 0) + 1
 
     def end_write(self, database: str, version: int) -> None:
-        """Count a write as ended."""
+        """Count the end of a write."""
         key = (database, version)
         self.open_writes[key] -= 1
         if not self.open_writes[key]:
             del self.open_writes[key]
 
     def has_open_writes(self, database: str, version: int) -> bool:
-        """Return whether writes run under a version or an earlier one."""
+        """Return whether writes are running under a version or an earlier one."""
         return any(
             name == database and open_version <= version
             for name, open_version in self.open_writes
@@ -204,7 +224,7 @@
     def measure_demand(self, *, reset: bool = True) -> dict[str, int]:
         """Return the connections that this node could use, by endpoint.
 
-        With ``reset`` a new measurement of the peaks starts.
+        The counts are peaks; with ``reset`` a new measurement starts.
         """
         return {
             endpoint: pool.measure_demand(reset=reset)
@@ -212,7 +232,7 @@
         }
 
     def list_limits(self) -> list[tuple[str, str, str, int]]:
-        """Return id, place, region and accepted connections of each endpoint."""
+        """Return id, place, region and usable connections of each endpoint."""
         configuration = self.board.configuration
         limits = configuration.connections if configuration is not None else {}
         return [
@@ -230,7 +250,7 @@
         ]
 
     def apply_shares(self, shares: dict[str, int]) -> None:
-        """Put this node's shares of the endpoints' connections in force."""
+        """Apply this node's shares of the endpoints' connections."""
         if shares == self.shares:
             return
         self.shares = shares
--- a/hyssopshelf/gateway/metrics.py
+++ b/hyssopshelf/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of one gateway."""
+"""Counters and latency histograms of one gateway, in the Prometheus format."""
 
 import bisect
 import collections
@@ -9,20 +9,28 @@
 
 
 class Histogram:
-    """Counts of observations by bucket."""
+    """Histogram of times.
+
+    Attributes
+    ----------
+    counts : list of int
+        Observations in each bucket, not cumulative; the last bucket is unbounded.
+    total_seconds : float
+        Sum of the observations.
+    """
 
     def __init__(self) -> None:
         self.counts = [0] * (len(BOUNDS_SECONDS) + 1)
         self.total_seconds = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Add an observation."""
+        """Add one time to its bucket."""
         self.counts[bisect.bisect_left(BOUNDS_SECONDS, seconds)] += 1
         self.total_seconds += seconds
 
 
 class Metrics:
-    """What a gateway counts.
+    """Counters of the requests of a gateway.
 
     Attributes
     ----------
@@ -40,7 +48,7 @@
         self.queued: dict[int, Histogram] = collections.defaultdict(Histogram)
 
     def record(self, rank: int, outcome: str, seconds: float, queued: float) -> None:
-        """Count an answered request."""
+        """Count an answered request; ``seconds`` includes the time in queues."""
         self.outcomes[rank, outcome] += 1
         self.latencies[rank].observe(seconds)
         self.queued[rank].observe(queued)
@@ -48,7 +56,7 @@
 
 def render(gateway) -> bytes:
     """Return the metrics page of a gateway in the Prometheus text format."""
-    # The library is loaded with the first scrape: it costs memory on small hosts.
+    # Imported at the first scrape, as the library costs memory on small hosts.
     import aioprometheus
     from aioprometheus import renderer
 
--- a/hyssopshelf/gateway/probes.py
+++ b/hyssopshelf/gateway/probes.py
@@ -1,7 +1,8 @@
-"""Probes that keep beliefs fresh where traffic does not.
+"""Probes of endpoints that get too little traffic to show their state.
 
-A reset of an idle connection takes no slot. At a primary its answer is an
-observation of the log; at a failing endpoint it shows a recovery.
+A probe resets an idle connection, which takes no slot. The answer of a primary is
+an observation of its log position; the answer of a failing endpoint shows that it
+has recovered.
 """
 
 import asyncio
@@ -10,21 +11,21 @@
 from hyssopshelf.gateway import endpoint_connections, endpoint_health, execution
 
 INTERVAL_SECONDS = 0.1
-"""Time between two rounds."""
+"""Time between two rounds of probes."""
 
 OBSERVATION_AGE_SECONDS = 0.3
-"""Age of the newest observation above which the primary is probed; reads that may
-be 1.5 s old then have a position in time after a lost probe."""
+"""Age of the newest observation above which the primary is probed. Reads with a
+staleness bound of 1.5 s then get a position in time even if one probe is lost."""
 
 PROBE_TIMEOUT_SECONDS = 0.4
-"""Time for an answer; a round trip and a connection across regions fit."""
+"""Timeout of a probe; enough for a new connection and a round trip across regions."""
 
 FAILING_INTERVAL_SECONDS = 0.25
-"""Time between two probes of a failing endpoint."""
+"""Minimum time between two probes of a failing endpoint."""
 
 
 class Prober:
-    """Probes primaries and failing endpoints.
+    """Probes primaries without recent observations, and failing endpoints.
 
     Parameters
     ----------
@@ -39,7 +40,7 @@
         self._tasks: set[asyncio.Task] = set()
 
     def run_round(self) -> None:
-        """Start the probes that are due."""
+        """Start the probes that are due, as tasks, at most one for each endpoint."""
         board = self.gateway.board
         now = clocks.read_clock()
         due = set()
@@ -93,17 +94,22 @@
 
 
 async def send_unqueued(gateway, endpoint, message: bytes | None, seconds: float):
-    """Send one message outside the queue; return its reply.
+    """Send one message without waiting in the queue and return its reply.
+
+    It uses an idle connection of the pool, or a new one that may exceed this node's
+    share.
 
     Parameters
     ----------
     message : bytes or None
-        The message; None for a reset of the connection, which takes no slot.
+        Encoded message; None resets the connection.
+    seconds : float
+        Timeout of connecting and exchange together.
 
     Raises
     ------
     EndpointConnectionError
-        If the endpoint does not answer in time.
+        If the endpoint cannot be reached, refuses, or does not answer in time.
     """
     pool = gateway.get_local_pool(endpoint)
     deadline = clocks.read_clock() + seconds
--- a/hyssopshelf/gateway/routing.py
+++ b/hyssopshelf/gateway/routing.py
@@ -1,8 +1,9 @@
-"""Pattern: reads go to the nearest endpoint that is fresh and not congested.
+"""Latency-aware routing of reads to the nearest fresh and uncongested endpoint.
 
-The cost of an endpoint is the time in which an answer is expected: its measured
-latency plus the work of this node that is ahead. Crossing a region costs bytes,
-and the primary is kept free for work that only it can do; both count as time.
+The cost of an endpoint is the expected response time: its measured latency plus
+the wait behind work of this node. Traffic between regions is costly, and the
+primary is kept free for work that only it can do, so both add a penalty to the
+cost, as time.
 """
 
 import attrs
@@ -12,30 +13,30 @@
 SAME_PLACE_SECONDS = 0.004
 SAME_REGION_SECONDS = 0.006
 OTHER_REGION_SECONDS = 0.03
-"""Assumed latency of an endpoint without samples, by distance, in seconds."""
+"""Assumed latency of an endpoint without samples, by its distance, in seconds."""
 
 REGION_PENALTY_SECONDS = 0.03
-"""Wait that is accepted to keep a read inside the region; its bytes between
-regions cost about as much as this delay does."""
+"""Additional latency accepted to keep a read inside the region; its bytes between
+regions cost about as much as this delay."""
 
 PRIMARY_PENALTY_SECONDS = 0.015
-"""Wait that a read accepts to leave the primary to writes."""
+"""Additional latency accepted to leave the primary to writes."""
 
 STALENESS_MARGIN_SECONDS = 0.15
-"""Part of the staleness bound that is left for the way of the request from the
-client to the gateway."""
+"""Part of the staleness bound that is reserved for the request's travel time from
+the client to the gateway."""
 
 
 @attrs.frozen(kw_only=True)
 class Candidate:
-    """An endpoint for a read.
+    """An endpoint that may run a read.
 
     Attributes
     ----------
     position : LogPosition or None
-        Position that the endpoint's log has to hold, None without a condition.
+        Position that the endpoint's log must contain; None at the primary.
     primary : bool
-        Whether it is the valid primary.
+        Whether the endpoint is the primary under a valid grant.
     """
 
     endpoint: catalog.Endpoint
@@ -49,14 +50,21 @@
     session_position: statements.LogPosition | None,
     now: float,
 ) -> tuple[statements.LogPosition | None, bool]:
-    """Return the position that a replica must hold for a read.
+    """Return the position that a replica's log must contain for a read.
+
+    Parameters
+    ----------
+    session_position : LogPosition or None
+        Position of the session's last acknowledged write.
+    now : float
+        Clock time in seconds.
 
     Returns
     -------
     position : LogPosition or None
-        The least sufficient position.
+        The lowest sufficient position.
     known : bool
-        False if no position is known to be recent enough.
+        False if no known position suffices, so that no replica may be used.
     """
     positions = board.get_positions(route.database)
     oldest = now - route.staleness_seconds + STALENESS_MARGIN_SECONDS
@@ -79,14 +87,14 @@
     excluded: set[str],
     now: float,
 ) -> list[Candidate]:
-    """Return endpoints that may run a read, the best first.
+    """Return the endpoints that may run a read, the cheapest first.
 
     Parameters
     ----------
     estimate_wait : callable
-        Returns the expected wait at an endpoint in seconds, by its id.
+        Takes an endpoint's id and returns the expected wait there, in seconds.
     excluded : set of str
-        Endpoints that have failed this read.
+        Ids of endpoints where the read has failed.
     """
     primary = board.find_primary(route.database, now)
     candidates = []
@@ -110,7 +118,10 @@
 
 
 def estimate_cost(board, candidate: Candidate, estimate_wait, now: float) -> tuple:
-    """Return the sort key of a candidate, the smallest for the best."""
+    """Return the sort key of a candidate; the lowest is the best.
+
+    Endpoints that are avoided or draining come last, whatever their latency.
+    """
     endpoint = candidate.endpoint
     health = board.health.get(endpoint.id)
     same_region = board.regions.get(endpoint.place) == board.region
--- a/hyssopshelf/gateway/tests/test_isolation.py
+++ b/hyssopshelf/gateway/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""Tests of what a node does that is cut off from the coordinator."""
+"""Tests of a node that is isolated from the coordinator."""
 
 import asyncio
 
@@ -15,20 +15,20 @@
 )
 
 
-def test_stages_follow_each_other():
+def test_stages_advance_with_the_silence():
     stages = [isolation.find_stage(s / 10) for s in range(60)]
     assert stages == sorted(stages)
     assert stages[0] is isolation.Stage.CONNECTED
     assert stages[-1] is isolation.Stage.CLOSING
 
 
-def test_a_takeover_is_not_taken_for_isolation():
-    """A silent coordinator is replaced before the balancer could notice."""
+def test_a_takeover_is_not_treated_as_isolation():
+    """A silent coordinator is replaced before the load balancer or clients notice."""
     longest = timing.PROMISE_CONTACT_SECONDS + timing.PROMISE_SECONDS
     assert isolation.find_stage(longest + 0.5) < isolation.Stage.REFUSING
 
 
-def test_a_request_is_refused_at_once_without_hope_for_a_primary():
+def test_a_request_is_refused_at_once_while_isolated():
     async def scenario():
         board = blackboard.GatewayBlackboard(place="a", region="r", regions={"a": "r"})
         board.isolated = True
@@ -47,8 +47,8 @@
             connections={"db": 4},
             limits=catalog.Limits(),
         )
-        serving = gateway.Gateway(board=board, endpoint_codec=None)
-        session = sessions.Session(gateway=serving, name="db")
+        isolated_gateway = gateway.Gateway(board=board, endpoint_codec=None)
+        session = sessions.Session(gateway=isolated_gateway, name="db")
         request = statements.Request(
             id=b"1", text=b"WRITE a b", statement=statements.Access(writes=True)
         )
--- a/hyssopshelf/gateway/tests/test_routing.py
+++ b/hyssopshelf/gateway/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of where reads go, in load, lag and failure."""
+"""Tests of the choice of endpoints for reads under load, lag and failure."""
 
 from hyssopshelf.gateway import (
     blackboard,
@@ -26,11 +26,11 @@
     )
 
 
-def make_route(rule: str = catalog.ReadRule.BOUNDED):
+def make_route(read_rule: str = catalog.ReadRule.BOUNDED):
     return catalog.Route(
         name="r",
         database="db",
-        read_rule=rule,
+        read_rule=read_rule,
         staleness_seconds=1.5,
         statement_seconds=1.0,
         objective_seconds=0.5,
@@ -80,8 +80,8 @@
 
 
 def test_reads_of_primary_routes_go_to_the_primary_only():
-    found = choose(make_board(), make_route(catalog.ReadRule.PRIMARY))
-    assert [c.endpoint.id for c in found] == ["p"]
+    candidates = choose(make_board(), make_route(catalog.ReadRule.PRIMARY))
+    assert [c.endpoint.id for c in candidates] == ["p"]
 
 
 def test_own_writes_raise_the_position():
@@ -97,13 +97,13 @@
 
 
 def test_no_replica_is_used_without_a_recent_observation():
-    """A cut from the primary must not lead to reads that are too old."""
+    """A partition from the primary must not lead to stale reads."""
     board = make_board()
     board.get_positions("db").start_term(1)
     assert [c.endpoint.id for c in choose(board)] == ["p"]
 
 
-def test_no_primary_is_used_after_the_belief_has_lapsed():
+def test_no_primary_is_used_after_its_grant_has_expired():
     board = make_board()
     board.primary_grants["db"] = blackboard.PrimaryGrant(
         endpoint="p", term=1, version=1, valid_until=NOW
@@ -126,22 +126,22 @@
     assert choose(make_board(), estimate_wait=estimate_wait)[0].endpoint.id != "near"
 
 
-def test_a_failing_endpoint_is_the_last_choice_and_stays_one():
+def test_a_failing_endpoint_is_used_last_until_its_avoidance_ends():
     board = make_board()
     endpoint_health.record_failure(board.get_health("near"), NOW - 0.05, NOW)
     assert [c.endpoint.id for c in choose(board)][-1] == "near"
     later = NOW + endpoint_health.FIRST_AVOIDANCE_SECONDS
-    found = routing.list_candidates(
+    candidates = routing.list_candidates(
         board, make_route(), None, lambda _: 0.0, set(), later
     )
-    assert found[0].endpoint.id == "near"
+    assert candidates[0].endpoint.id == "near"
 
 
 def test_a_leaving_endpoint_is_used_only_without_another():
     assert choose(make_board(leaving=True))[-1].endpoint.id == "near"
 
 
-def test_an_answer_of_another_connection_outweighs_an_older_failure():
+def test_an_answer_on_another_connection_overrides_an_older_failure():
     health = blackboard.EndpointHealth()
     endpoint_health.record_answer(health, 0.01, NOW)
     endpoint_health.record_failure(health, NOW - 0.5, NOW + 0.1)
@@ -149,7 +149,7 @@
 
 
 def test_reads_leave_an_endpoint_that_fails_part_of_them():
-    """Its health page is good and its failures come between successes."""
+    """Covers errors that neither a health page nor failures in a row show."""
     board = make_board()
     health = board.get_health("near")
     for number in range(60):
@@ -161,7 +161,7 @@
 
 
 def test_an_endpoint_that_failed_is_tried_again():
-    """Without reads it cannot show that it is well."""
+    """An endpoint without reads cannot show its recovery, so errors must decay."""
     board = make_board()
     health = board.get_health("near")
     for _ in range(60):
@@ -172,23 +172,23 @@
     assert choose(board)[0].endpoint.id != "near"
 
 
-def test_second_offers_are_a_small_part_of_the_reads_when_all_are_late():
-    """A slow database must not get twice the load."""
+def test_hedges_are_a_small_part_of_the_reads_when_all_are_late():
+    """Hedges must not double the load of a slow database."""
     budget = hedging.HedgeBudget()
-    made = 0
+    hedges = 0
     for _ in range(2000):
         budget.deposit()
-        made += budget.try_withdraw()
-    assert made <= hedging.BUDGET_BURST + 2000 * hedging.BUDGET_SHARE + 1
+        hedges += budget.try_withdraw()
+    assert hedges <= hedging.BUDGET_BURST + 2000 * hedging.BUDGET_SHARE + 1
 
 
-def test_a_second_offer_waits_longer_where_answers_take_longer():
+def test_a_hedge_waits_longer_where_answers_take_longer():
     assert hedging.find_hedge_delay(0.0) == hedging.MINIMUM_DELAY_SECONDS
     assert hedging.find_hedge_delay(0.1) > 0.5
 
 
 def test_a_lagging_replica_is_asked_rarely_and_used_again_soon():
-    """Reads of a second do not each ask a replica that is three seconds behind."""
+    """Reads must not all go first to a replica that is three seconds behind."""
     board = make_board()
     positions = board.get_positions("db")
     refused = 0
@@ -199,7 +199,7 @@
         board.primary_grants["db"] = blackboard.PrimaryGrant(
             endpoint="p", term=1, version=1, valid_until=now + 1
         )
-        held = LogPosition(1, 7 + max(0, step - 300) if step < 500 else 8 + step)
+        log_end = LogPosition(1, 7 + max(0, step - 300) if step < 500 else 8 + step)
         candidates = routing.list_candidates(
             board, make_route(), None, lambda _: 0.0, set(), now
         )
@@ -207,14 +207,14 @@
         if near is None:
             continue
         health = board.get_health("near")
-        if held >= near.position:
+        if log_end >= near.position:
             endpoint_health.clear_lag(health)
             if step >= 500:
                 used_at = used_at or now
         else:
             refused += 1
-            endpoint_health.record_lag(health, held, now)
-    # Four doublings, then one each 0.8 s.
+            endpoint_health.record_lag(health, log_end, now)
+    # Four refusals with doubling pauses, then one every 0.8 s.
     assert refused <= 4 + 5.0 / endpoint_health.LONGEST_LAG_SECONDS
     assert used_at - (NOW + 5.0) <= endpoint_health.LONGEST_LAG_SECONDS + 0.01
 
@@ -224,5 +224,5 @@
     endpoint_health.record_lag(board.get_health("near"), LogPosition(1, 7), NOW)
     assert choose(board)[0].endpoint.id == "near"
     route = make_route(catalog.ReadRule.OWN_WRITES)
-    found = choose(board, route, position=LogPosition(1, 9))
-    assert "near" not in [c.endpoint.id for c in found]
+    candidates = choose(board, route, position=LogPosition(1, 9))
+    assert "near" not in [c.endpoint.id for c in candidates]
