--- a/hyssopshelf/gateway/autocommit.py
+++ b/hyssopshelf/gateway/autocommit.py
@@ -47,7 +47,7 @@
 async def _run_read(session, request, shape, route, deadline: float):
     """Run a read until an endpoint answers it, with a hedge for a late answer."""
     gateway = session.gateway
-    gateway.hedges.deposit()
+    gateway.hedge_budget.deposit()
     retry = execution.make_retry_state(route, reads=True)
     attempts: set[asyncio.Task] = set()
     reply = execution.make_error(_KIND.UNAVAILABLE)
@@ -151,7 +151,7 @@
         if not done:
             if hedge_delay is None or remaining <= seconds:
                 return reply, False
-            if gateway.hedges.try_withdraw():
+            if gateway.hedge_budget.try_withdraw():
                 return reply, True
             hedge_delay = None
             continue
--- a/hyssopshelf/gateway/tests/test_retries.py
+++ b/hyssopshelf/gateway/tests/test_retries.py
@@ -167,7 +167,7 @@
         assert [reply.error for reply, _ in answers] == [unknown] + [None] * 11
         assert max(seconds for _, seconds in answers[1:]) < 0.6
         assert node_gateway.connection_pools["one"].queue.waiting == 0
-        assert node_gateway.connection_pools["one"].opening == 0
+        assert node_gateway.connection_pools["one"].pending_checkouts == 0
 
     asyncio.run(scenario())
 
@@ -351,7 +351,7 @@
         for task in tasks[1:]:
             task.cancel()
         await asyncio.wait(tasks[1:])
-        assert pool.opening == 0
+        assert pool.pending_checkouts == 0
         assert pool.queue.waiting == 0
         await tasks[0]
 
