--- a/hyssopshelf/gateway/tests/test_retries.py
+++ b/hyssopshelf/gateway/tests/test_retries.py
@@ -334,7 +334,7 @@
 
 
 def test_work_refused_and_cancelled_together_counts_no_connection(endpoints):
-    """Guards against counting such work as started, which makes ``pending_checkouts`` wrong."""
+    """Guards against counting such work as started in ``pending_checkouts``."""
     endpoints.behaviours = {"one": None}
 
     async def scenario():
