--- a/hyssopshelf/authority/change.py
+++ b/hyssopshelf/authority/change.py
@@ -125,7 +125,7 @@
             return
         if not endpoints:
             return
-        if self._is_abandoned(database, assigned.version):
+        if self._is_released(database, assigned.version):
             self._start(database, self._reopen(database, assigned))
             return
         lapsed = self._has_lapsed(database, endpoints.get(assigned.endpoint), now)
@@ -133,7 +133,7 @@
         reason = suspicion.find_reason(
             assigned, endpoints, reports, lapsed, users.get(assigned.endpoint, 0)
         )
-        if reason and self.coordinator.ledger.is_settled(now):
+        if reason and self.coordinator.grant_table.is_ready_for_change(now):
             self._start(database, self._change(database, assigned, reason))
 
     def _has_lapsed(self, database: str, primary, now: float) -> bool:
@@ -143,12 +143,14 @@
         since = self._lapsed_since.setdefault(database, now)
         return now - since > LAPSE_SECONDS
 
-    def _is_abandoned(self, database: str, version: int) -> bool:
+    def _is_released(self, database: str, version: int) -> bool:
         """Return whether a node gave the assignment back for a change that ended."""
         if self.local_member.released.get(database, 0) >= version:
             return True
-        members = self.coordinator.ledger.members.values()
-        return any(state.abandoned.get(database, 0) >= version for state in members)
+        members = self.coordinator.grant_table.members.values()
+        return any(
+            state.reported_releases.get(database, 0) >= version for state in members
+        )
 
     async def _reopen(self, database: str, assigned) -> bool:
         """Let all nodes use the same primary again, under a new version."""
@@ -164,7 +166,7 @@
         """Return what each node that is heard sees of failing endpoints, by host."""
         reaches = {
             state.host: state.reach
-            for state in self.coordinator.ledger.members.values()
+            for state in self.coordinator.grant_table.members.values()
             if now - state.heard_at < timing.SILENCE_SECONDS
         }
         own = self.coordinator.identity.host
@@ -270,8 +272,13 @@
     async def _resume(self, database: str, entry) -> bool:
         """Finish a change that was recorded, perhaps by an earlier coordinator."""
         now = clocks.read_clock()
-        holders = self.coordinator.ledger.find_holders(database, entry.version, now)
-        if any(not self.coordinator.ledger.members[host].follows for host in holders):
+        grant_holders = self.coordinator.grant_table.find_grant_holders(
+            database, entry.version, now
+        )
+        if any(
+            not self.coordinator.grant_table.members[host].follows
+            for host in grant_holders
+        ):
             # An earlier coordinator may still call.
             return False
         self.coordinator.closed.add(database)
@@ -335,13 +342,15 @@
         started = clocks.read_clock()
         while True:
             now = clocks.read_clock()
-            holders = self.coordinator.ledger.find_holders(database, version, now)
-            if not holders and own.done():
+            grant_holders = self.coordinator.grant_table.find_grant_holders(
+                database, version, now
+            )
+            if not grant_holders and own.done():
                 return
             if now >= send_at:
                 send_at = now + REPEAT_SECONDS
-                for host in holders:
-                    state = self.coordinator.ledger.members[host]
+                for host in grant_holders:
+                    state = self.coordinator.grant_table.members[host]
                     if now - started > timing.STUCK_SECONDS:
                         self.local_member.reset(state.address)
                     self.coordinator.send(host, state.address, message)
--- a/hyssopshelf/authority/coordinator.py
+++ b/hyssopshelf/authority/coordinator.py
@@ -7,7 +7,7 @@
 import msgpack
 
 from hyssopshelf import clocks, logs
-from hyssopshelf.authority import assignments, exchange, ledger, member, shares, timing
+from hyssopshelf.authority import assignments, exchange, grants, member, shares, timing
 
 SUCCESSORS = 3
 """Members that are named to take over first."""
@@ -47,7 +47,7 @@
         self.revision = revision
         self.store = store
         self.send = send
-        self.ledger = ledger.Ledger()
+        self.grant_table = grants.GrantTable()
         self.caretaker = caretaker
         self.closed: set[str] = set()
         self.active = True
@@ -67,20 +67,20 @@
 
     def has_authority(self, now: float) -> bool:
         """Return whether this node may grant and decide."""
-        return self.active and self.ledger.has_authority(now)
+        return self.active and self.grant_table.has_authority(now)
 
     def may_change(self, now: float) -> bool:
         """Return whether the store confirmed this node a short time ago."""
         return (
             self.active
             and not self.caretaker
-            and now < self.ledger.confirmed_at + timing.AUTHORITY_SECONDS / 2
+            and now < self.grant_table.confirmed_at + timing.AUTHORITY_SECONDS / 2
         )
 
     def receive_ping(self, ping: exchange.Ping, host: str, address: str) -> None:
         """Answer a member's ping."""
         now = clocks.read_clock()
-        known = self.ledger.members.get(host)
+        known = self.grant_table.members.get(host)
         if known is None:
             self._register(ping, host, address)
             self._answer(ping, host, address, now, grant=False)
@@ -88,19 +88,19 @@
         if known.incarnation != ping.incarnation:
             # A process that has started again.
             self.add_member(make_record(ping, host, address))
-            known = self.ledger.members[host]
+            known = self.grant_table.members[host]
         known.address = address
         if ping.stamp and ping.held > timing.STUCK_SECONDS:
             # The member has not had an answer for a while.
             self.local_member.reset(address)
         follows = ping.epoch == self.record.epoch
-        self.ledger.record_ping(known, ping, follows, now)
+        self.grant_table.record_ping(known, ping, follows, now)
         if ping.shares_version == shares.find_version(self.shares.get(host)):
             known.sent_shares = self.shares.get(host)
         self._observe(ping, now)
         grant = follows and self.has_authority(now)
         if grant:
-            self.ledger.record_grant(known, now)
+            self.grant_table.record_grant(known, now)
         self._answer(ping, host, address, now, grant=grant)
 
     def renew_own_grants(self) -> None:
@@ -118,13 +118,13 @@
                 event,
                 {
                     "epoch": self.record.epoch,
-                    "confirmed_age": round(now - self.ledger.confirmed_at, 3),
-                    "members": len(self.ledger.members),
+                    "confirmed_age": round(now - self.grant_table.confirmed_at, 3),
+                    "members": len(self.grant_table.members),
                 },
             )
         if not authority:
             return
-        until = self.ledger.find_authority_end()
+        until = self.grant_table.find_authority_end()
         self.local_member.answered_at = now
         self.local_member.apply_grants(until, tuple(self.closed))
         found = self._collect_observations(now)
@@ -135,7 +135,7 @@
         message = exchange.Announce(
             epoch=self.record.epoch, incarnation=self.identity.incarnation
         )
-        for state in self.ledger.members.values():
+        for state in self.grant_table.members.values():
             self.send(state.host, state.address, message)
 
     def stop(self, reason: str) -> None:
@@ -154,7 +154,7 @@
         """Return the members that should take over first, other places first."""
         alive = [
             state
-            for state in self.ledger.members.values()
+            for state in self.grant_table.members.values()
             if now - state.heard_at < timing.SILENCE_SECONDS and not state.draining
         ]
         alive.sort(
@@ -241,8 +241,8 @@
         )
         if data is not None and len(data) > timing.SMALL_DOCUMENT_BYTES:
             now = clocks.read_clock()
-            relays: dict[str, ledger.MemberState] = {}
-            for state in self.ledger.members.values():
+            relays: dict[str, grants.MemberState] = {}
+            for state in self.grant_table.members.values():
                 if now - state.heard_at > timing.SILENCE_SECONDS:
                     continue
                 best = relays.get(state.place)
@@ -313,7 +313,7 @@
                 capacity=state.capacity,
                 demand=state.demand,
             )
-            for state in self.ledger.members.values()
+            for state in self.grant_table.members.values()
             if now - state.heard_at < timing.SILENCE_SECONDS and not state.draining
         ]
         self.shares, chosen = shares.divide_all(
@@ -338,7 +338,7 @@
     def _pick_shares(self, host: str) -> dict[str, int] | None:
         """Return a member's shares if it does not have them yet."""
         current = self.shares.get(host)
-        state = self.ledger.members.get(host)
+        state = self.grant_table.members.get(host)
         if current is None or state is None or state.sent_shares == current:
             return None
         return current
@@ -366,16 +366,16 @@
 
     def add_member(self, record: assignments.MemberRecord) -> None:
         """Add a registered member; a new incarnation keeps no grant."""
-        before = self.ledger.members.get(record.host)
+        before = self.grant_table.members.get(record.host)
         if before is not None and before.incarnation == record.incarnation:
             before.address = record.address
             return
-        self.ledger.members[record.host] = ledger.MemberState(
+        self.grant_table.members[record.host] = grants.MemberState(
             host=record.host,
             address=record.address,
             incarnation=record.incarnation,
             place=record.place,
-            capacity=record.capacity or ledger.USUAL_CAPACITY,
+            capacity=record.capacity or grants.USUAL_CAPACITY,
             heard_at=clocks.read_clock(),
         )
         logs.write(
@@ -389,9 +389,9 @@
         now = clocks.read_clock()
         silent = [
             state
-            for state in self.ledger.members.values()
+            for state in self.grant_table.members.values()
             if now - state.heard_at > timing.EXPULSION_SECONDS
-            and now > self.ledger.find_lapse(state)
+            and now > self.grant_table.find_grant_expiry(state)
         ]
         if not silent or not self.may_change(now):
             return
@@ -402,8 +402,8 @@
         if removed.is_err():
             return
         for state in silent:
-            if self.ledger.members.get(state.host) is state:
-                del self.ledger.members[state.host]
+            if self.grant_table.members.get(state.host) is state:
+                del self.grant_table.members[state.host]
             logs.write(
                 logs.LogEvent.MEMBER_REMOVED,
                 {"member": state.host, "silent": round(now - state.heard_at, 2)},
@@ -426,7 +426,7 @@
                 place=state.place,
                 capacity=state.capacity,
             )
-            for state in sorted(self.ledger.members.values(), key=lambda s: s.host)
+            for state in sorted(self.grant_table.members.values(), key=lambda s: s.host)
         ]
         self.local_member.members = {record.host: record for record in records}
         data = msgpack.packb({"members": [attrs.asdict(record) for record in records]})
--- a/hyssopshelf/authority/dispatch.py
+++ b/hyssopshelf/authority/dispatch.py
@@ -39,7 +39,7 @@
     local_coordinator = node.coordinator
     if local_coordinator is None or message.epoch != local_coordinator.record.epoch:
         return
-    state = local_coordinator.ledger.members.get(host)
+    state = local_coordinator.grant_table.members.get(host)
     if state is not None:
         before = state.released.get(message.database, 0)
         state.released[message.database] = max(message.version, before)
--- a/hyssopshelf/authority/ledger.py
+++ b/hyssopshelf/authority/grants.py
@@ -9,7 +9,7 @@
 
 from hyssopshelf.authority import timing
 
-GRANT_SECONDS = timing.GRANT_SECONDS + timing.MARGIN_SECONDS
+GRANT_EXPIRY_SECONDS = timing.GRANT_SECONDS + timing.MARGIN_SECONDS
 """Time from the sending of a grant to its certain lapse, in seconds."""
 
 USUAL_CAPACITY = 1.0
@@ -50,11 +50,11 @@
     demand: dict = attrs.field(factory=dict)
     capacity: float = USUAL_CAPACITY
     sent_shares: dict | None = None
-    abandoned: dict[str, int] = attrs.field(factory=dict)
+    reported_releases: dict[str, int] = attrs.field(factory=dict)
 
 
 @attrs.define(kw_only=True)
-class Ledger:
+class GrantTable:
     """Grants and promises of one coordinator.
 
     A majority of all members that follows one coordinator keeps any other one from
@@ -107,7 +107,7 @@
         member.demand = ping.demand
         member.capacity = ping.capacity
         for database, version in ping.released.items():
-            member.abandoned[database] = version
+            member.reported_releases[database] = version
         member.promised_until = float("-inf")
         if follows and ping.promises and ping.stamp:
             sent_after = min(now, ping.stamp + ping.held)
@@ -130,36 +130,38 @@
 
     def record_grant(self, member: MemberState, now: float) -> None:
         """Note that an answer with a grant is sent."""
-        member.granted_until = now + GRANT_SECONDS
+        member.granted_until = now + GRANT_EXPIRY_SECONDS
 
-    def find_lapse(self, member: MemberState) -> float:
+    def find_grant_expiry(self, member: MemberState) -> float:
         """Return the time at which the member's grants have lapsed.
 
         Earlier coordinators act on renewals before the end of their lease. Members
         that this coordinator does not hear may follow one without the store,
         which acts on the promises of a majority.
         """
-        renewed = self.predecessor_ended_at + timing.AUTHORITY_SECONDS + GRANT_SECONDS
-        promised = self.majority_since + timing.PROMISE_SECONDS + GRANT_SECONDS
+        renewed = (
+            self.predecessor_ended_at + timing.AUTHORITY_SECONDS + GRANT_EXPIRY_SECONDS
+        )
+        promised = self.majority_since + timing.PROMISE_SECONDS + GRANT_EXPIRY_SECONDS
         longest = (
-            max(member.granted_until, self.predecessor_ended_at + GRANT_SECONDS)
+            max(member.granted_until, self.predecessor_ended_at + GRANT_EXPIRY_SECONDS)
             + timing.MAJORITY_AUTHORITY_SECONDS
         )
         return min(longest, max(member.granted_until, renewed, promised))
 
-    def is_settled(self, now: float) -> bool:
+    def is_ready_for_change(self, now: float) -> bool:
         """Return whether a change would not wait long for a silent member."""
         return all(
-            state.follows or now >= self.find_lapse(state)
+            state.follows or now >= self.find_grant_expiry(state)
             for state in self.members.values()
         )
 
-    def find_holders(self, database: str, version: int, now: float) -> list[str]:
+    def find_grant_holders(self, database: str, version: int, now: float) -> list[str]:
         """Return the members that may still use an assignment."""
         self.update_majority(now)
         return [
             host
             for host, member in self.members.items()
             if member.released.get(database, 0) < version
-            and now < self.find_lapse(member)
+            and now < self.find_grant_expiry(member)
         ]
--- a/hyssopshelf/authority/participant.py
+++ b/hyssopshelf/authority/participant.py
@@ -274,9 +274,9 @@
             store=self.store,
             send=self.send,
         )
-        local_coordinator.ledger.confirmed_at = now
+        local_coordinator.grant_table.confirmed_at = now
         if current is not None:
-            local_coordinator.ledger.predecessor_ended_at = now
+            local_coordinator.grant_table.predecessor_ended_at = now
         self._lead(local_coordinator, reason)
         local_coordinator.run_in_background(renewal.renew(local_coordinator))
         local_coordinator.run_in_background(self._coordinate(local_coordinator))
@@ -321,7 +321,7 @@
         listed_at = clocks.read_clock()
         while local_coordinator.active:
             await asyncio.sleep(timing.PING_SECONDS / 2)
-            local_coordinator.ledger.update_majority(clocks.read_clock())
+            local_coordinator.grant_table.update_majority(clocks.read_clock())
             local_coordinator.renew_own_grants()
             local_coordinator.divide_connections()
             if local_coordinator.members_changed:
@@ -380,7 +380,7 @@
         local_coordinator.store_contact_at = (
             local_member.store_age_at - local_member.store_age
         )
-        local_coordinator.ledger.confirmed_at = local_coordinator.store_contact_at
+        local_coordinator.grant_table.confirmed_at = local_coordinator.store_contact_at
         for host, known in local_member.members.items():
             if host != self.identity.host:
                 local_coordinator.add_member(known)
--- a/hyssopshelf/authority/renewal.py
+++ b/hyssopshelf/authority/renewal.py
@@ -16,8 +16,8 @@
             local_coordinator.record.lease, timing.RENEWAL_SECONDS * 2
         )
         if renewed.is_ok():
-            local_coordinator.ledger.confirmed_at = max(
-                local_coordinator.ledger.confirmed_at, sent_at
+            local_coordinator.grant_table.confirmed_at = max(
+                local_coordinator.grant_table.confirmed_at, sent_at
             )
             local_coordinator.store_contact_at = clocks.read_clock()
         elif renewed.err_value.status == election.NOT_FOUND_STATUS:
@@ -40,7 +40,7 @@
     if written.is_ok():
         local_coordinator.record = record
         local_coordinator.revision = written.ok_value
-        local_coordinator.ledger.confirmed_at = sent_at
+        local_coordinator.grant_table.confirmed_at = sent_at
         local_coordinator.local_member.follow(record)
     elif written.err_value.status == election.CONFLICT_STATUS:
         found = await local_coordinator.store.get(assignments.COORDINATOR_KEY)
--- a/hyssopshelf/authority/tests/test_ledger.py
+++ b/hyssopshelf/authority/tests/test_grants.py
@@ -3,17 +3,17 @@
 import hypothesis
 from hypothesis import strategies
 
-from hyssopshelf.authority import exchange, ledger, timing
+from hyssopshelf.authority import exchange, grants, timing
 
 NOW = 1000.0
 
 
-def make_ledger(count: int) -> ledger.Ledger:
-    book = ledger.Ledger(confirmed_at=NOW)
+def make_table(count: int) -> grants.GrantTable:
+    table = grants.GrantTable(confirmed_at=NOW)
     for number in range(count):
         host = f"h{number}"
-        book.members[host] = ledger.MemberState(host=host, address="", incarnation=1)
-    return book
+        table.members[host] = grants.MemberState(host=host, address="", incarnation=1)
+    return table
 
 
 def make_ping(stamp: float, held: float = 0.0, promises: bool = True) -> exchange.Ping:
@@ -29,85 +29,89 @@
 
 
 def test_authority_lapses_without_store_and_promises():
-    book = make_ledger(5)
-    assert book.has_authority(NOW + timing.AUTHORITY_SECONDS - 0.01)
-    assert not book.has_authority(NOW + timing.AUTHORITY_SECONDS)
+    table = make_table(5)
+    assert table.has_authority(NOW + timing.AUTHORITY_SECONDS - 0.01)
+    assert not table.has_authority(NOW + timing.AUTHORITY_SECONDS)
 
 
-def hear(book: ledger.Ledger, count: int, now: float, promises: bool = True) -> None:
-    for state in list(book.members.values())[:count]:
-        book.record_ping(state, make_ping(now - 0.1, 0.05, promises), True, now)
+def hear(
+    table: grants.GrantTable, count: int, now: float, promises: bool = True
+) -> None:
+    for state in list(table.members.values())[:count]:
+        table.record_ping(state, make_ping(now - 0.1, 0.05, promises), True, now)
 
 
 def test_promises_of_a_majority_bridge_an_outage_of_the_store():
     """Five of six nodes on one side of a split keep their primaries."""
-    book = make_ledger(5)
+    table = make_table(5)
     later = NOW + 10
-    hear(book, 3, later)
-    assert book.has_authority(later)
-    book = make_ledger(5)
-    hear(book, 2, later)
-    assert not book.has_authority(later)
+    hear(table, 3, later)
+    assert table.has_authority(later)
+    table = make_table(5)
+    hear(table, 2, later)
+    assert not table.has_authority(later)
 
 
 def test_a_majority_bridges_a_bounded_time_only():
-    book = make_ledger(5)
+    table = make_table(5)
     later = NOW + timing.MAJORITY_AUTHORITY_SECONDS
-    hear(book, 4, later)
-    assert not book.has_authority(later)
+    hear(table, 4, later)
+    assert not table.has_authority(later)
 
 
 def test_a_promise_counts_from_before_its_ping_was_sent():
     """A ping that a freeze or a cut held up must not extend the authority."""
-    book = make_ledger(1)
+    table = make_table(1)
     later = NOW + 10
-    state = book.members["h0"]
-    book.record_ping(state, make_ping(later - 5, 0.2), True, later)
-    assert not book.has_authority(later)
+    state = table.members["h0"]
+    table.record_ping(state, make_ping(later - 5, 0.2), True, later)
+    assert not table.has_authority(later)
 
 
 def test_a_grant_blocks_a_change_until_it_lapsed_or_was_given_back():
-    book = make_ledger(2)
-    hear(book, 2, NOW)
-    book.majority_since = NOW - 10
-    for state in book.members.values():
-        book.record_grant(state, NOW)
-    book.members["h0"].released["db"] = 3
-    assert book.find_holders("db", 3, NOW + 0.1) == ["h1"]
-    assert book.find_holders("db", 4, NOW + 0.1) == ["h0", "h1"]
-    lapsed = NOW + ledger.GRANT_SECONDS
-    hear(book, 1, lapsed)
-    assert book.find_holders("db", 3, lapsed) == []
+    table = make_table(2)
+    hear(table, 2, NOW)
+    table.majority_since = NOW - 10
+    for state in table.members.values():
+        table.record_grant(state, NOW)
+    table.members["h0"].released["db"] = 3
+    assert table.find_grant_holders("db", 3, NOW + 0.1) == ["h1"]
+    assert table.find_grant_holders("db", 4, NOW + 0.1) == ["h0", "h1"]
+    lapsed = NOW + grants.GRANT_EXPIRY_SECONDS
+    hear(table, 1, lapsed)
+    assert table.find_grant_holders("db", 3, lapsed) == []
 
 
 def test_silent_members_may_follow_a_caretaker_without_a_majority_here():
     """A coordinator on the small side of a split must wait before a change."""
-    book = make_ledger(5)
-    hear(book, 1, NOW)
-    for state in book.members.values():
-        book.record_grant(state, NOW)
+    table = make_table(5)
+    hear(table, 1, NOW)
+    for state in table.members.values():
+        table.record_grant(state, NOW)
         state.released["db"] = 1 if state.host == "h0" else 0
     after_grants = NOW + timing.GRANT_SECONDS + 1
-    hear(book, 1, after_grants)
-    assert len(book.find_holders("db", 1, after_grants)) == 4
-    much_later = NOW + ledger.GRANT_SECONDS + timing.MAJORITY_AUTHORITY_SECONDS + 0.1
-    assert book.find_holders("db", 1, much_later) == []
+    hear(table, 1, after_grants)
+    assert len(table.find_grant_holders("db", 1, after_grants)) == 4
+    much_later = (
+        NOW + grants.GRANT_EXPIRY_SECONDS + timing.MAJORITY_AUTHORITY_SECONDS + 0.1
+    )
+    assert table.find_grant_holders("db", 1, much_later) == []
 
 
 def test_a_successor_waits_for_grants_of_its_predecessor():
-    book = make_ledger(4)
-    book.predecessor_ended_at = NOW
-    hear(book, 3, NOW)
+    table = make_table(4)
+    table.predecessor_ended_at = NOW
+    hear(table, 3, NOW)
     # The fourth one, the predecessor itself, stays silent.
     for host in ("h0", "h1", "h2"):
-        book.members[host].released["db"] = 1
+        table.members[host].released["db"] = 1
     early = NOW + timing.AUTHORITY_SECONDS + timing.GRANT_SECONDS
-    hear(book, 3, early)
-    assert book.find_holders("db", 1, early) == ["h3"]
+    hear(table, 3, early)
+    assert table.find_grant_holders("db", 1, early) == ["h3"]
     late = early + 2 * timing.MARGIN_SECONDS
-    book.majority_since = NOW
-    hear(book, 3, late)
-    assert book.find_holders("db", 1, late) == []
+    table.majority_since = NOW
+    hear(table, 3, late)
+    assert table.find_grant_holders("db", 1, late) == []
 
 
 @hypothesis.given(
@@ -121,29 +125,29 @@
     Both coordinators know the same members; each hears those on its side. The
     one without the store is on the side of ``True`` and knows the last contact.
     """
-    granting = ledger.Ledger(confirmed_at=NOW)
-    changing = ledger.Ledger(confirmed_at=NOW + elapsed, predecessor_ended_at=NOW)
+    granting = grants.GrantTable(confirmed_at=NOW)
+    changing = grants.GrantTable(confirmed_at=NOW + elapsed, predecessor_ended_at=NOW)
     now = NOW + elapsed
     hosts = [f"h{number}" for number in range(members)]
     for host in hosts:
-        for book in (granting, changing):
-            book.members[host] = ledger.MemberState(
+        for table in (granting, changing):
+            table.members[host] = grants.MemberState(
                 host=host, address="", incarnation=1
             )
     # Each coordinator is itself one more member, unknown to the other's list.
-    granting.members["changer"] = ledger.MemberState(
+    granting.members["changer"] = grants.MemberState(
         host="changer", address="", incarnation=1
     )
-    changing.members["granter"] = ledger.MemberState(
+    changing.members["granter"] = grants.MemberState(
         host="granter", address="", incarnation=1
     )
     step = timing.PING_SECONDS
     moments = [NOW + step * i for i in range(int(elapsed / step) + 1)] + [now]
     for moment in moments:
         for host, side in zip(hosts, sides, strict=False):
-            book = granting if side else changing
+            table = granting if side else changing
             ping = make_ping(moment - 0.02, 0.01)
-            book.record_ping(book.members[host], ping, True, moment)
+            table.record_ping(table.members[host], ping, True, moment)
         changing.update_majority(moment)
         if granting.has_authority(moment):
             for state in granting.members.values():
@@ -153,4 +157,4 @@
         if not side:
             changing.members[host].released["db"] = 1
     if granted and any(side for _, side in zip(hosts, sides, strict=False)):
-        assert changing.find_holders("db", 1, now)
+        assert changing.find_grant_holders("db", 1, now)
--- a/hyssopshelf/authority/tests/test_rules.py
+++ b/hyssopshelf/authority/tests/test_rules.py
@@ -13,7 +13,7 @@
     coordinator,
     election,
     exchange,
-    ledger,
+    grants,
     member,
     shares,
     suspicion,
@@ -212,7 +212,7 @@
         send=lambda host, address, message: sent.append((host, message)),
     )
     for number in range(members):
-        local_coordinator.ledger.members[f"h{number}"] = ledger.MemberState(
+        local_coordinator.grant_table.members[f"h{number}"] = grants.MemberState(
             host=f"h{number}",
             address="",
             incarnation=1,
@@ -254,7 +254,7 @@
     local_coordinator.local_member.gateway = types.SimpleNamespace(
         board=blackboard.GatewayBlackboard(place="a", region="r", regions={})
     )
-    for state in local_coordinator.ledger.members.values():
+    for state in local_coordinator.grant_table.members.values():
         state.reach = failing
     controller = change.ChangeController(
         coordinator=local_coordinator, recorder=None, promotion_client=None
@@ -311,7 +311,7 @@
     chosen = dict(local_coordinator.chosen_holders)
     large = {host for hosts in chosen.values() for host in hosts}
     assert large <= {f"h{number}" for number in range(64, 76)}
-    for state in local_coordinator.ledger.members.values():
+    for state in local_coordinator.grant_table.members.values():
         state.heard_at = clocks.read_clock()
     local_coordinator.divide_connections()
     assert local_coordinator.chosen_holders == chosen
