--- a/hyssopshelf/authority/change.py
+++ b/hyssopshelf/authority/change.py
@@ -41,7 +41,7 @@
 """Log entries that a replica may lack when a planned change starts; the primary
 writes some tens a second, so it catches up within the time for it."""
 
-LAPSE_SECONDS = 1.5
+DEMOTED_SECONDS = 1.5
 """Time for which a primary reports itself as a replica before it is replaced. A
 registry entry may be that old."""
 
@@ -87,7 +87,7 @@
         self.local_member = coordinator.local_member
         self.gateway = coordinator.local_member.gateway
         self._busy: set[str] = set()
-        self._lapsed_since: dict[str, float] = {}
+        self._demoted_since: dict[str, float] = {}
         self._retry_at: dict[str, float] = collections.defaultdict(float)
 
     async def run(self) -> None:
@@ -128,20 +128,20 @@
         if self._is_released(database, assigned.version):
             self._start(database, self._reopen(database, assigned))
             return
-        lapsed = self._has_lapsed(database, endpoints.get(assigned.endpoint), now)
+        demoted = self._is_demoted(database, endpoints.get(assigned.endpoint), now)
         reports, users = self._collect_reports(endpoints, reaches)
-        reason = suspicion.find_reason(
-            assigned, endpoints, reports, lapsed, users.get(assigned.endpoint, 0)
+        reason = suspicion.find_change_reason(
+            assigned, endpoints, reports, demoted, users.get(assigned.endpoint, 0)
         )
         if reason and self.coordinator.grant_table.is_ready_for_change(now):
             self._start(database, self._change(database, assigned, reason))
 
-    def _has_lapsed(self, database: str, primary, now: float) -> bool:
+    def _is_demoted(self, database: str, primary, now: float) -> bool:
         if primary is None or primary.leads:
-            self._lapsed_since.pop(database, None)
+            self._demoted_since.pop(database, None)
             return False
-        since = self._lapsed_since.setdefault(database, now)
-        return now - since > LAPSE_SECONDS
+        since = self._demoted_since.setdefault(database, now)
+        return now - since > DEMOTED_SECONDS
 
     def _is_released(self, database: str, version: int) -> bool:
         """Return whether a node gave the assignment back for a change that ended."""
@@ -157,7 +157,7 @@
         entry = attrs.evolve(assigned, version=assigned.version + 1)
         if not await self._record(database, entry):
             return False
-        self.coordinator.closed.discard(database)
+        self.coordinator.revoked.discard(database)
         self.coordinator.renew_own_grants()
         self.coordinator.announce()
         return True
@@ -234,14 +234,14 @@
         target = await self._choose_target(database, assigned, planned)
         if target is None:
             return False
-        self.coordinator.closed.add(database)
+        self.coordinator.revoked.add(database)
         await self._wait_for_release(database, assigned.version, planned)
         now = clocks.read_clock()
         if not self.coordinator.may_change(now) or not self._still_needs(
             database, assigned, reason, now
         ):
             # The next look reopens the primary under a new version.
-            self.coordinator.closed.discard(database)
+            self.coordinator.revoked.discard(database)
             logs.write(
                 logs.LogEvent.CHANGE_ABANDONED,
                 {"database": database, "reason": "no longer needed or allowed"},
@@ -281,7 +281,7 @@
         ):
             # An earlier coordinator may still call.
             return False
-        self.coordinator.closed.add(database)
+        self.coordinator.revoked.add(database)
         endpoint = self._list_endpoints(database).get(entry.endpoint)
         if endpoint is not None and await self._promote(database, entry):
             return True
@@ -419,7 +419,7 @@
         self.local_member.assignments = self.local_member.assignments.replace(
             database, done
         )
-        self.coordinator.closed.discard(database)
+        self.coordinator.revoked.discard(database)
         self.coordinator.renew_own_grants()
         self.coordinator.announce()
         logs.write(
@@ -468,7 +468,7 @@
 
     async def _record(self, database: str, entry) -> bool:
         """Write an assignment to the store, then use it."""
-        if self.coordinator.closed.isdisjoint({database}) and entry.promoting:
+        if self.coordinator.revoked.isdisjoint({database}) and entry.promoting:
             raise exceptions.InvariantError("a promotion starts without a release")
         return await self.recorder.record(database, entry)
 
--- a/hyssopshelf/authority/coordinator.py
+++ b/hyssopshelf/authority/coordinator.py
@@ -49,7 +49,7 @@
         self.send = send
         self.grant_table = grants.GrantTable()
         self.caretaker = caretaker
-        self.closed: set[str] = set()
+        self.revoked: set[str] = set()
         self.active = True
         self.resigning = False
         self.store_contact_at = clocks.read_clock()
@@ -126,7 +126,7 @@
             return
         until = self.grant_table.find_authority_end()
         self.local_member.answered_at = now
-        self.local_member.apply_grants(until, tuple(self.closed))
+        self.local_member.apply_grants(until, tuple(self.revoked))
         found = self._collect_observations(now)
         member.merge_observations(self.local_member.gateway.board, found, now)
 
@@ -182,7 +182,7 @@
             resigning=self.resigning,
             stamp=now,
             store_age=max(0.0, now - self.store_contact_at),
-            released=tuple(self.closed),
+            released=tuple(self.revoked),
             assignments=(
                 assignments.encode(newer)
                 if ping.assignments_version < newer.version
--- a/hyssopshelf/authority/election.py
+++ b/hyssopshelf/authority/election.py
@@ -5,8 +5,8 @@
 SILENT = "coordinator is silent"
 ABSENT = "no coordinator is known"
 RESIGNING = "coordinator resigns"
-CUT_OFF = "coordinator does not reach the store"
-STORE_LOST = "coordinator is silent and the store does not answer"
+STORE_UNREACHABLE = "coordinator does not reach the store"
+SILENT_WITHOUT_STORE = "coordinator is silent and the store does not answer"
 
 EPOCH_STEP = 1000
 """Step of the epochs that the store records. Caretakers use the numbers between, so
@@ -19,7 +19,7 @@
 """Members that try one after the other; further ones share their steps."""
 
 
-def find_reason(member, now: float) -> str:
+def find_takeover_reason(member, now: float) -> str:
     """Return why a member should try to take over now, empty if it should not.
 
     A member never takes over while a promise of its own is in force, unless the
@@ -39,7 +39,7 @@
         and now - member.store_age_at < timing.SILENCE_SECONDS
         and member.store_age > timing.STORE_CONTACT_SECONDS
     ):
-        return CUT_OFF
+        return STORE_UNREACHABLE
     if now < member.promised_until:
         return ""
     if now - max(member.answered_at, member.followed_at) > timing.SILENCE_SECONDS:
--- a/hyssopshelf/authority/member.py
+++ b/hyssopshelf/authority/member.py
@@ -253,7 +253,7 @@
             document_cache.registry_read_at = read_at
             self.apply_document("registry", zlib.decompress(pong.registry))
 
-    def apply_grants(self, valid_until: float, closed: tuple[str, ...]) -> None:
+    def apply_grants(self, valid_until: float, revoked: tuple[str, ...]) -> None:
         """Renew the beliefs in all primaries that may be used."""
         board = self.gateway.board
         changed = False
@@ -261,7 +261,7 @@
             before = board.primary_grants.get(database)
             usable = (
                 not entry.promoting
-                and database not in closed
+                and database not in revoked
                 and entry.version > self.released.get(database, 0)
             )
             if not usable:
--- a/hyssopshelf/authority/participant.py
+++ b/hyssopshelf/authority/participant.py
@@ -141,11 +141,11 @@
             or now < self._next_attempt_at
         ):
             return
-        reason = election.find_reason(self.member, now)
+        reason = election.find_takeover_reason(self.member, now)
         if reason:
             self._taking_over = True
             pause = timing.PING_SECONDS
-            if reason == election.CUT_OFF:
+            if reason == election.STORE_UNREACHABLE:
                 pause = STORE_RETRY_SECONDS
             self._next_attempt_at = now + pause
             self.spawn(self._try_take_over(reason))
@@ -164,14 +164,14 @@
 
     def _should_go_on(self, reason: str) -> bool:
         """Return whether an attempt to take over still has its reason."""
-        if reason == election.STORE_LOST:
+        if reason == election.SILENT_WITHOUT_STORE:
             local_coordinator = self.coordinator
             return (
                 local_coordinator is not None
                 and local_coordinator.active
                 and local_coordinator.caretaker
             )
-        return election.find_reason(self.member, clocks.read_clock()) == reason
+        return election.find_takeover_reason(self.member, clocks.read_clock()) == reason
 
     async def _register(self) -> None:
         """Write this node's registration to the store."""
@@ -384,7 +384,7 @@
         for host, known in local_member.members.items():
             if host != self.identity.host:
                 local_coordinator.add_member(known)
-        self._lead(local_coordinator, election.STORE_LOST)
+        self._lead(local_coordinator, election.SILENT_WITHOUT_STORE)
         local_coordinator.run_in_background(self._wait_for_store())
         local_coordinator.run_in_background(self._serve(local_coordinator))
 
@@ -394,7 +394,7 @@
             await asyncio.sleep(STORE_RETRY_SECONDS)
             if not self._taking_over:
                 self._taking_over = True
-                self.spawn(self._try_take_over(election.STORE_LOST))
+                self.spawn(self._try_take_over(election.SILENT_WITHOUT_STORE))
 
     async def _others_agree(self, strict: bool = False) -> bool:
         """Ask the other members whether they miss the coordinator, too.
--- a/hyssopshelf/authority/suspicion.py
+++ b/hyssopshelf/authority/suspicion.py
@@ -14,13 +14,13 @@
 MINIMUM_FAILURES = 2
 """Failures in a row of a node that counts as failing."""
 
-FAILING_SHARE = 0.25
+QUORUM_SHARE = 0.25
 """Part of the nodes that use a primary which must fail at it."""
 
-MINIMUM_WITNESSES = 2
+MINIMUM_QUORUM = 2
 """Nodes that must fail at a primary if more than one uses it."""
 
-PATIENT_SECONDS = 1.5
+SINGLE_REPORT_SECONDS = 1.5
 """Time after which failures of a single node are enough, if all nodes reach
 another endpoint."""
 
@@ -43,10 +43,10 @@
     )
 
 
-def count_witnesses(users: int) -> int:
+def find_quorum(users: int) -> int:
     """Return how many nodes must fail at a primary that a number of nodes use."""
-    witnesses = max(MINIMUM_WITNESSES, math.ceil(FAILING_SHARE * users))
-    return max(1, min(users, witnesses))
+    quorum = max(MINIMUM_QUORUM, math.ceil(QUORUM_SHARE * users))
+    return max(1, min(users, quorum))
 
 
 def is_suspected(reports: dict, primary: str, others: list[str], users: int) -> bool:
@@ -63,14 +63,14 @@
         return False
     failing = count_failing(reports[primary], primary, SUSPECT_SECONDS)
     best = min(count_failing(reports[other], other, 0.0) for other in others)
-    if failing >= count_witnesses(users) and best < failing:
+    if failing >= find_quorum(users) and best < failing:
         return True
-    patient = count_failing(reports[primary], primary, PATIENT_SECONDS)
-    return patient > 0 and best == 0
+    single = count_failing(reports[primary], primary, SINGLE_REPORT_SECONDS)
+    return single > 0 and best == 0
 
 
-def find_reason(
-    assigned, endpoints: dict, reports: dict, lapsed: bool, users: int
+def find_change_reason(
+    assigned, endpoints: dict, reports: dict, demoted: bool, users: int
 ) -> str:
     """Return why the primary of a database should be replaced, empty if not.
 
@@ -97,7 +97,7 @@
         return ""
     if primary is None:
         return "gone"
-    if lapsed:
+    if demoted:
         return "reports itself as a replica"
     if is_suspected(reports, assigned.endpoint, others, users):
         return "unreachable"
--- a/hyssopshelf/authority/tests/test_rules.py
+++ b/hyssopshelf/authority/tests/test_rules.py
@@ -42,34 +42,37 @@
 
 
 def test_nobody_takes_over_from_a_coordinator_that_answers():
-    assert election.find_reason(make_member(), NOW) == ""
+    assert election.find_takeover_reason(make_member(), NOW) == ""
 
 
 def test_a_silent_coordinator_is_replaced():
     one = make_member(answered_at=NOW - timing.SILENCE_SECONDS - 0.01)
-    assert election.find_reason(one, NOW) == election.SILENT
+    assert election.find_takeover_reason(one, NOW) == election.SILENT
 
 
 def test_a_promise_is_kept():
     one = make_member(answered_at=NOW - 9, promised_until=NOW + 0.1)
-    assert election.find_reason(one, NOW) == ""
+    assert election.find_takeover_reason(one, NOW) == ""
 
 
 def test_the_first_successor_relieves_one_that_resigns():
-    assert election.find_reason(make_member(resigning=True), NOW) == election.RESIGNING
+    assert (
+        election.find_takeover_reason(make_member(resigning=True), NOW)
+        == election.RESIGNING
+    )
     later = make_member(resigning=True, successors=("other", "me"))
-    assert election.find_reason(later, NOW) == ""
+    assert election.find_takeover_reason(later, NOW) == ""
 
 
 def test_a_successor_relieves_one_without_the_store():
     one = make_member(store_age=timing.STORE_CONTACT_SECONDS + 0.1)
-    assert election.find_reason(one, NOW) == election.CUT_OFF
+    assert election.find_takeover_reason(one, NOW) == election.STORE_UNREACHABLE
 
 
 def test_a_new_coordinator_gets_time_to_answer():
     """A member that has just followed a caretaker must not start another one."""
     one = make_member(answered_at=NOW - 9, followed_at=NOW - 0.3)
-    assert election.find_reason(one, NOW) == ""
+    assert election.find_takeover_reason(one, NOW) == ""
 
 
 def test_a_contact_elsewhere_stops_a_takeover():
@@ -151,15 +154,20 @@
 
     assigned = assignments.Assignment(endpoint="p", term=1, version=1)
     both = {"p": endpoint("p"), "a": endpoint("a")}
-    assert suspicion.find_reason(assigned, both, spread([{}]), False, 1) == ""
+    assert suspicion.find_change_reason(assigned, both, spread([{}]), False, 1) == ""
     assert (
-        suspicion.find_reason(assigned, {"a": both["a"]}, spread([{}]), False, 1)
+        suspicion.find_change_reason(assigned, {"a": both["a"]}, spread([{}]), False, 1)
         == "gone"
     )
     leaving = {**both, "p": endpoint("p", leaving=True)}
-    assert suspicion.find_reason(assigned, leaving, spread([{}]), False, 1) == "leaving"
     assert (
-        suspicion.find_reason(assigned, {"p": leaving["p"]}, spread([{}]), False, 1)
+        suspicion.find_change_reason(assigned, leaving, spread([{}]), False, 1)
+        == "leaving"
+    )
+    assert (
+        suspicion.find_change_reason(
+            assigned, {"p": leaving["p"]}, spread([{}]), False, 1
+        )
         == ""
     )
 
