--- a/hyssopshelf/authority/change.py
+++ b/hyssopshelf/authority/change.py
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Status:
+class ReplicationStatus:
     """An endpoint's own account of its state."""
 
     role: str
@@ -95,9 +95,9 @@
         while self.coordinator.active:
             now = clocks.read_clock()
             if self.coordinator.may_change(now):
-                reaches = self._collect_reaches(now)
+                failure_reports = self._collect_failure_reports(now)
                 for database in self._list_databases():
-                    self._inspect(database, reaches, now)
+                    self._inspect(database, failure_reports, now)
             await asyncio.sleep(CHECK_SECONDS)
 
     def _list_databases(self) -> list[str]:
@@ -111,7 +111,7 @@
             if endpoint.database == database
         }
 
-    def _inspect(self, database: str, reaches: dict, now: float) -> None:
+    def _inspect(self, database: str, failure_reports: dict, now: float) -> None:
         if database in self._busy or now < self._retry_at[database]:
             return
         assigned = self.local_member.assignments.databases.get(database)
@@ -129,7 +129,7 @@
             self._start(database, self._reopen(database, assigned))
             return
         demoted = self._is_demoted(database, endpoints.get(assigned.endpoint), now)
-        reports, users = self._collect_reports(endpoints, reaches)
+        reports, users = self._group_reports(endpoints, failure_reports)
         reason = suspicion.find_change_reason(
             assigned, endpoints, reports, demoted, users.get(assigned.endpoint, 0)
         )
@@ -162,18 +162,18 @@
         self.coordinator.announce()
         return True
 
-    def _collect_reaches(self, now: float) -> dict[str, dict]:
+    def _collect_failure_reports(self, now: float) -> dict[str, dict]:
         """Return what each node that is heard sees of failing endpoints, by host."""
-        reaches = {
-            state.host: state.reach
+        failure_reports = {
+            state.host: state.failure_reports
             for state in self.coordinator.grant_table.members.values()
             if now - state.heard_at < timing.SILENCE_SECONDS
         }
         own = self.coordinator.identity.host
-        reaches[own] = member.collect_reach(self.gateway.board, now)
-        return reaches
+        failure_reports[own] = member.collect_failure_reports(self.gateway.board, now)
+        return failure_reports
 
-    def _collect_reports(self, endpoints, reaches: dict[str, dict]):
+    def _group_reports(self, endpoints, failure_reports: dict[str, dict]):
         """Return the reports on each endpoint, and how many nodes use it.
 
         A node that holds no connections to an endpoint may keep an old failure, so
@@ -182,8 +182,10 @@
         reports, users = {}, {}
         for endpoint in endpoints:
             holders = self.coordinator.holders.get(endpoint)
-            hosts = [host for host, _ in holders] if holders else list(reaches)
-            reports[endpoint] = [reaches[host] for host in hosts if host in reaches]
+            hosts = [host for host, _ in holders] if holders else list(failure_reports)
+            reports[endpoint] = [
+                failure_reports[host] for host in hosts if host in failure_reports
+            ]
             users[endpoint] = len(hosts)
         return reports, users
 
@@ -298,8 +300,8 @@
             if endpoint.id != assigned.endpoint and not endpoint.leaving
         ]
         endpoints = [endpoint.id for endpoint in candidates]
-        reaches = self._collect_reaches(clocks.read_clock())
-        reports, _ = self._collect_reports(endpoints, reaches)
+        failure_reports = self._collect_failure_reports(clocks.read_clock())
+        reports, _ = self._group_reports(endpoints, failure_reports)
         found = await asyncio.gather(
             *(self._ask_status(endpoint) for endpoint in candidates)
         )
@@ -432,9 +434,9 @@
                 "seconds": round(clocks.read_clock() - started, 3),
             },
         )
-        self.coordinator.run_in_background(self._settle(database, done))
+        self.coordinator.run_in_background(self._complete_demotions(database, done))
 
-    async def _settle(self, database: str, done) -> None:
+    async def _complete_demotions(self, database: str, done) -> None:
         """Record the end of a change and make old primaries follow."""
         await self.recorder.save()
         for _ in range(DEMOTE_ATTEMPTS):
@@ -472,7 +474,7 @@
             raise exceptions.InvariantError("a promotion starts without a release")
         return await self.recorder.record(database, entry)
 
-    async def _ask_status(self, endpoint) -> Status | None:
+    async def _ask_status(self, endpoint) -> ReplicationStatus | None:
         codec = self.gateway.endpoint_codec
         try:
             reply = await probes.send_unqueued(
@@ -485,7 +487,7 @@
             self._log_no_status(endpoint, reply.error.value if reply.error else "empty")
             return None
         role, term, position = codec.parse_status(reply.rows[0])
-        return Status(role=role, term=term, position=position)
+        return ReplicationStatus(role=role, term=term, position=position)
 
     def _log_no_status(self, endpoint, reason: str) -> None:
         logs.write_request(
--- a/hyssopshelf/authority/exchange.py
+++ b/hyssopshelf/authority/exchange.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Reach:
+class FailureReport:
     """What a member sees of an endpoint.
 
     Attributes
@@ -62,7 +62,7 @@
     wants_configuration: bool = False
     draining: bool = False
     observations: dict[str, tuple[int, int, int, float]] = attrs.field(factory=dict)
-    reach: dict[str, Reach] = attrs.field(factory=dict)
+    reach: dict[str, FailureReport] = attrs.field(factory=dict)
     demand: dict[str, int] = attrs.field(factory=dict)
     released: dict[str, int] = attrs.field(factory=dict)
 
--- a/hyssopshelf/authority/grants.py
+++ b/hyssopshelf/authority/grants.py
@@ -46,7 +46,7 @@
     draining: bool = False
     follows: bool = False
     released: dict[str, int] = attrs.field(factory=dict)
-    reach: dict = attrs.field(factory=dict)
+    failure_reports: dict = attrs.field(factory=dict)
     demand: dict = attrs.field(factory=dict)
     capacity: float = USUAL_CAPACITY
     sent_shares: dict | None = None
@@ -103,7 +103,7 @@
         member.heard_at = now
         member.follows = follows
         member.draining = ping.draining
-        member.reach = ping.reach
+        member.failure_reports = ping.reach
         member.demand = ping.demand
         member.capacity = ping.capacity
         for database, version in ping.released.items():
--- a/hyssopshelf/authority/member.py
+++ b/hyssopshelf/authority/member.py
@@ -154,7 +154,7 @@
             ),
             draining=self.gateway.board.draining,
             observations=collect_observations(self.gateway.board, now),
-            reach=collect_reach(self.gateway.board, now),
+            reach=collect_failure_reports(self.gateway.board, now),
             demand={
                 endpoint: count
                 for endpoint, count in self.gateway.measure_demand().items()
@@ -362,10 +362,10 @@
         board.get_positions(database).add(position, sent_at - age - ROUNDING_SECONDS)
 
 
-def collect_reach(board, now: float) -> dict[str, exchange.Reach]:
+def collect_failure_reports(board, now: float) -> dict[str, exchange.FailureReport]:
     """Return what this node sees of failing endpoints."""
     return {
-        endpoint: exchange.Reach(
+        endpoint: exchange.FailureReport(
             failing_seconds=round(now - health.failing_since, 3),
             failures=health.failures,
         )
--- a/hyssopshelf/authority/suspicion.py
+++ b/hyssopshelf/authority/suspicion.py
@@ -36,10 +36,10 @@
     """
     return sum(
         1
-        for reach in reports
-        if (found := reach.get(endpoint)) is not None
-        and found.failing_seconds >= seconds
-        and found.failures >= MINIMUM_FAILURES
+        for node_reports in reports
+        if (report := node_reports.get(endpoint)) is not None
+        and report.failing_seconds >= seconds
+        and report.failures >= MINIMUM_FAILURES
     )
 
 
--- a/hyssopshelf/authority/tests/test_rules.py
+++ b/hyssopshelf/authority/tests/test_rules.py
@@ -102,40 +102,48 @@
     return dict.fromkeys(("p", "a", "b"), reports)
 
 
-def make_reach(seconds: float) -> exchange.Reach:
-    return exchange.Reach(failing_seconds=seconds, failures=3)
+def make_failure_report(seconds: float) -> exchange.FailureReport:
+    return exchange.FailureReport(failing_seconds=seconds, failures=3)
 
 
 def test_one_node_alone_does_not_replace_a_primary_at_once():
-    reports = [{"p": make_reach(0.6)}] + [{}] * 5
+    reports = [{"p": make_failure_report(0.6)}] + [{}] * 5
     assert not suspicion.is_suspected(spread(reports), "p", ["a", "b"], 6)
 
 
 def test_few_holders_replace_a_primary_that_nobody_else_can_judge():
     """Of 77 nodes four hold its connections."""
-    reports = [{"p": make_reach(0.6)}] * 2 + [{}] * 2
+    reports = [{"p": make_failure_report(0.6)}] * 2 + [{}] * 2
     assert suspicion.is_suspected(spread(reports), "p", ["a", "b"], 4)
     assert not suspicion.is_suspected(spread(reports[1:]), "p", ["a", "b"], 4)
     assert not suspicion.is_suspected(spread(reports), "p", ["a", "b"], 77)
 
 
 def test_the_only_user_of_a_primary_is_enough():
-    assert suspicion.is_suspected(spread([{"p": make_reach(0.6)}]), "p", ["a"], 1)
+    assert suspicion.is_suspected(
+        spread([{"p": make_failure_report(0.6)}]), "p", ["a"], 1
+    )
 
 
 def test_a_quarter_of_the_nodes_replaces_a_primary():
-    reports = [{"p": make_reach(0.6)}] * 2 + [{}] * 4
+    reports = [{"p": make_failure_report(0.6)}] * 2 + [{}] * 4
     assert suspicion.is_suspected(spread(reports), "p", ["a", "b"], 6)
 
 
 def test_a_primary_is_kept_if_no_other_endpoint_is_reached_better():
-    reports = [{"p": make_reach(2), "a": make_reach(2), "b": make_reach(2)}] * 3
+    reports = [
+        {
+            "p": make_failure_report(2),
+            "a": make_failure_report(2),
+            "b": make_failure_report(2),
+        }
+    ] * 3
     assert not suspicion.is_suspected(spread(reports), "p", ["a", "b"], 3)
 
 
 def test_a_flapping_primary_is_kept():
     """A success between failures starts the time anew."""
-    reports = [{"p": make_reach(0.2)}] * 6
+    reports = [{"p": make_failure_report(0.2)}] * 6
     assert not suspicion.is_suspected(spread(reports), "p", ["a"], 6)
 
 
@@ -257,21 +265,21 @@
 
 def test_only_holders_report_on_a_primary():
     """A restarted fleet tries all endpoints before it knows their holders."""
-    failing = {"p": make_reach(3.0)}
+    failing = {"p": make_failure_report(3.0)}
     local_coordinator = make_coordinator([], 8)
     local_coordinator.local_member.gateway = types.SimpleNamespace(
         board=blackboard.GatewayBlackboard(place="a", region="r", regions={})
     )
     for state in local_coordinator.grant_table.members.values():
-        state.reach = failing
+        state.failure_reports = failing
     controller = change.ChangeController(
         coordinator=local_coordinator, recorder=None, promotion_client=None
     )
-    reaches = controller._collect_reaches(clocks.read_clock())
-    reports, users = controller._collect_reports(["p"], reaches)
+    failure_reports = controller._collect_failure_reports(clocks.read_clock())
+    reports, users = controller._group_reports(["p"], failure_reports)
     assert (reports["p"].count(failing), users["p"]) == (8, 9)
     local_coordinator.holders = {"p": [("h1", ""), ("c", "")]}
-    reports, users = controller._collect_reports(["p"], reaches)
+    reports, users = controller._group_reports(["p"], failure_reports)
     assert (reports["p"], users["p"]) == ([failing, {}], 2)
 
 
