--- a/hyssopshelf/authority/shares.py
+++ b/hyssopshelf/authority/allocation.py
@@ -22,7 +22,7 @@
 """Weight of a node without demand, in connections, so that it can start."""
 
 
-def divide(limit: int, demand: dict[str, int]) -> dict[str, int]:
+def allocate(limit: int, demand: dict[str, int]) -> dict[str, int]:
     """Return each node's share of an endpoint's connections.
 
     Parameters
@@ -54,13 +54,13 @@
     return shares
 
 
-def find_version(own: dict[str, int] | None) -> int:
+def hash_shares(own: dict[str, int] | None) -> int:
     """Return a number that tells one node's shares from others."""
     return zlib.crc32(repr(sorted((own or {}).items())).encode())
 
 
 @attrs.frozen(kw_only=True)
-class Node:
+class HolderCandidate:
     """A node that may hold connections.
 
     Attributes
@@ -78,7 +78,11 @@
 
 
 def choose_holders(
-    limit: int, place: str, region: str, nodes: list[Node], current: list[str]
+    limit: int,
+    place: str,
+    region: str,
+    nodes: list[HolderCandidate],
+    current: list[str],
 ) -> list[str]:
     """Return the hosts that hold an endpoint's connections.
 
@@ -103,9 +107,9 @@
     return [node.host for node in ranked[: min(count, limit)]]
 
 
-def divide_all(
+def allocate_all(
     endpoints: list[tuple[str, str, str, int]],
-    nodes: list[Node],
+    nodes: list[HolderCandidate],
     current: dict[str, list[str]],
 ) -> tuple[dict[str, dict[str, int]], dict[str, list[str]]]:
     """Return the shares of each node, and the holders of each scarce endpoint.
@@ -131,7 +135,7 @@
             for node in nodes
             if node.host in members
         }
-        divided = divide(limit, demand)
+        allocated = allocate(limit, demand)
         for node in nodes:
-            shares[node.host][endpoint] = divided.get(node.host, 0)
+            shares[node.host][endpoint] = allocated.get(node.host, 0)
     return shares, holders
--- a/hyssopshelf/authority/coordinator.py
+++ b/hyssopshelf/authority/coordinator.py
@@ -7,7 +7,14 @@
 import msgpack
 
 from hyssopshelf import clocks, logs
-from hyssopshelf.authority import assignments, exchange, grants, member, shares, timing
+from hyssopshelf.authority import (
+    allocation,
+    assignments,
+    exchange,
+    grants,
+    member,
+    timing,
+)
 
 SUCCESSORS = 3
 """Members that are named to take over first."""
@@ -95,7 +102,7 @@
             self.local_member.reset(address)
         follows = ping.epoch == self.record.epoch
         self.grant_table.record_ping(known, ping, follows, now)
-        if ping.shares_version == shares.find_version(self.shares.get(host)):
+        if ping.shares_version == allocation.hash_shares(self.shares.get(host)):
             known.sent_shares = self.shares.get(host)
         self._observe(ping, now)
         grant = follows and self.has_authority(now)
@@ -159,7 +166,7 @@
         ]
         alive.sort(
             key=lambda state: (
-                state.capacity <= shares.SMALL_CAPACITY,
+                state.capacity <= allocation.SMALL_CAPACITY,
                 state.place == self.identity.place,
                 state.host,
             )
@@ -289,13 +296,13 @@
                 found[database] = (version, term, number, age)
         return found
 
-    def divide_connections(self) -> None:
+    def allocate_connections(self) -> None:
         """Decide which hosts hold how many connections to each endpoint."""
         local_member = self.local_member
         gateway = local_member.gateway
         now = clocks.read_clock()
         nodes = [
-            shares.Node(
+            allocation.HolderCandidate(
                 host=self.identity.host,
                 address=self.identity.address,
                 place=self.identity.place,
@@ -305,7 +312,7 @@
             )
         ]
         nodes += [
-            shares.Node(
+            allocation.HolderCandidate(
                 host=state.host,
                 address=state.address,
                 place=state.place,
@@ -316,7 +323,7 @@
             for state in self.grant_table.members.values()
             if now - state.heard_at < timing.SILENCE_SECONDS and not state.draining
         ]
-        self.shares, chosen = shares.divide_all(
+        self.shares, chosen = allocation.allocate_all(
             gateway.list_limits(), nodes, self.chosen_holders
         )
         self.chosen_holders = chosen
--- a/hyssopshelf/authority/member.py
+++ b/hyssopshelf/authority/member.py
@@ -6,7 +6,7 @@
 import attrs
 
 from hyssopshelf import clocks, logs
-from hyssopshelf.authority import assignments, exchange, shares, timing
+from hyssopshelf.authority import allocation, assignments, exchange, timing
 from hyssopshelf.gateway import blackboard, statements
 
 MAXIMUM_OBSERVATION_AGE_SECONDS = 1.0
@@ -147,7 +147,7 @@
             registry_version=document_cache.registry_version,
             members_version=document_cache.members_version,
             holders_version=self.holders_version,
-            shares_version=shares.find_version(self.gateway.shares),
+            shares_version=allocation.hash_shares(self.gateway.shares),
             capacity=self.capacity,
             wants_configuration=self.misses_configuration(
                 now, timing.MISSING_SECONDS * 1.5
--- a/hyssopshelf/authority/participant.py
+++ b/hyssopshelf/authority/participant.py
@@ -5,6 +5,7 @@
 
 from hyssopshelf import clocks, exceptions, logs
 from hyssopshelf.authority import (
+    allocation,
     assignments,
     change,
     coordinator,
@@ -14,7 +15,6 @@
     member,
     recorder,
     renewal,
-    shares,
     timing,
 )
 
@@ -239,7 +239,7 @@
     async def _find_record(self):
         """Read who coordinates; a small host gives others time to be the first."""
         found = await self.store.get(assignments.COORDINATOR_KEY)
-        small = self.member.capacity <= shares.SMALL_CAPACITY
+        small = self.member.capacity <= allocation.SMALL_CAPACITY
         if small and found.is_ok() and found.ok_value is None:
             await asyncio.sleep(timing.SMALL_HOST_SECONDS)
             found = await self.store.get(assignments.COORDINATOR_KEY)
@@ -315,7 +315,7 @@
 
     async def _serve(self, local_coordinator) -> None:
         # The first answers name the holders, so that nobody connects without need.
-        local_coordinator.divide_connections()
+        local_coordinator.allocate_connections()
         local_coordinator.announce()
         local_coordinator.renew_own_grants()
         listed_at = clocks.read_clock()
@@ -323,7 +323,7 @@
             await asyncio.sleep(timing.PING_SECONDS / 2)
             local_coordinator.grant_table.update_majority(clocks.read_clock())
             local_coordinator.renew_own_grants()
-            local_coordinator.divide_connections()
+            local_coordinator.allocate_connections()
             if local_coordinator.members_changed:
                 local_coordinator.publish_members()
             if local_coordinator.caretaker:
--- a/hyssopshelf/authority/tests/test_participant.py
+++ b/hyssopshelf/authority/tests/test_participant.py
@@ -103,7 +103,7 @@
         class Leading:
             active = False
 
-            def divide_connections(self):
+            def allocate_connections(self):
                 done.append("divided")
 
             def announce(self):
--- a/hyssopshelf/authority/tests/test_rules.py
+++ b/hyssopshelf/authority/tests/test_rules.py
@@ -8,6 +8,7 @@
 
 from hyssopshelf import clocks
 from hyssopshelf.authority import (
+    allocation,
     assignments,
     change,
     coordinator,
@@ -15,7 +16,6 @@
     exchange,
     grants,
     member,
-    shares,
     suspicion,
     timing,
 )
@@ -189,7 +189,7 @@
     ),
 )
 def test_shares_fit_the_limit_and_leave_nobody_out(limit, demand):
-    result = shares.divide(limit, demand)
+    result = allocation.allocate(limit, demand)
     assert set(result) == set(demand)
     assert sum(result.values()) <= limit
     if demand and limit >= len(demand):
@@ -199,7 +199,9 @@
 
 def test_shares_follow_the_demand():
     """A third of the clients enters at a single node of its place."""
-    result = shares.divide(22, {"alone": 9, "b": 2, "c": 2, "d": 1, "e": 1, "f": 1})
+    result = allocation.allocate(
+        22, {"alone": 9, "b": 2, "c": 2, "d": 1, "e": 1, "f": 1}
+    )
     assert result["alone"] >= 7
 
 
@@ -323,11 +325,11 @@
                 capacity=2.0 if number >= 64 else 0.5,
             )
         )
-    local_coordinator.divide_connections()
+    local_coordinator.allocate_connections()
     chosen = dict(local_coordinator.chosen_holders)
     large = {host for hosts in chosen.values() for host in hosts}
     assert large <= {f"h{number}" for number in range(64, 76)}
     for state in local_coordinator.grant_table.members.values():
         state.heard_at = clocks.read_clock()
-    local_coordinator.divide_connections()
+    local_coordinator.allocate_connections()
     assert local_coordinator.chosen_holders == chosen
