--- a/hyssopshelf/authority/coordinator.py
+++ b/hyssopshelf/authority/coordinator.py
@@ -46,7 +46,7 @@
     """
 
     def __init__(
-        self, *, identity, local_member, record, revision, store, send, caretaker=False
+        self, *, identity, local_member, record, revision, store, send, interim=False
     ) -> None:
         self.identity = identity
         self.local_member = local_member
@@ -55,7 +55,7 @@
         self.store = store
         self.send = send
         self.grant_table = grants.GrantTable()
-        self.caretaker = caretaker
+        self.interim = interim
         self.revoked: set[str] = set()
         self.active = True
         self.resigning = False
@@ -80,7 +80,7 @@
         """Return whether the store confirmed this node a short time ago."""
         return (
             self.active
-            and not self.caretaker
+            and not self.interim
             and now < self.grant_table.confirmed_at + timing.AUTHORITY_SECONDS / 2
         )
 
@@ -352,7 +352,7 @@
 
     def _register(self, ping: exchange.Ping, host: str, address: str) -> None:
         """Register a member that the store does not list yet."""
-        if host in self._registering or self.caretaker:
+        if host in self._registering or self.interim:
             return
         self._registering.add(host)
         record = make_record(ping, host, address)
@@ -391,13 +391,13 @@
         )
         self.publish_members()
 
-    async def expel_silent(self) -> None:
+    async def remove_silent_members(self) -> None:
         """Remove the registrations of members that do not ping any more."""
         now = clocks.read_clock()
         silent = [
             state
             for state in self.grant_table.members.values()
-            if now - state.heard_at > timing.EXPULSION_SECONDS
+            if now - state.heard_at > timing.MEMBER_TIMEOUT_SECONDS
             and now > self.grant_table.find_grant_expiry(state)
         ]
         if not silent or not self.may_change(now):
--- a/hyssopshelf/authority/dispatch.py
+++ b/hyssopshelf/authority/dispatch.py
@@ -7,14 +7,14 @@
 
 
 @functools.singledispatch
-def apply(message, node, host: str, address: str) -> None:
+def apply(message, participant, host: str, address: str) -> None:
     """Apply a message of the node on ``host``."""
     raise NotImplementedError(f"no handler for {type(message).__name__}")
 
 
 @apply.register
-def _apply_ping(message: exchange.Ping, node, host: str, address: str) -> None:
-    local_coordinator = node.coordinator
+def _apply_ping(message: exchange.Ping, participant, host: str, address: str) -> None:
+    local_coordinator = participant.coordinator
     if local_coordinator is None or not local_coordinator.active:
         return
     if message.epoch > local_coordinator.record.epoch:
@@ -24,19 +24,23 @@
 
 
 @apply.register
-def _apply_pong(message: exchange.Pong, node, host: str, address: str) -> None:
-    node.member.receive_pong(message, host)
+def _apply_pong(message: exchange.Pong, participant, host: str, address: str) -> None:
+    participant.member.receive_pong(message, host)
 
 
 @apply.register
-def _apply_release(message: exchange.Release, node, host: str, address: str) -> None:
-    if message.epoch >= node.member.epoch:
-        node.spawn(node.release(message, host, address))
+def _apply_release(
+    message: exchange.Release, participant, host: str, address: str
+) -> None:
+    if message.epoch >= participant.member.epoch:
+        participant.spawn(participant.release(message, host, address))
 
 
 @apply.register
-def _apply_released(message: exchange.Released, node, host: str, address: str) -> None:
-    local_coordinator = node.coordinator
+def _apply_released(
+    message: exchange.Released, participant, host: str, address: str
+) -> None:
+    local_coordinator = participant.coordinator
     if local_coordinator is None or message.epoch != local_coordinator.record.epoch:
         return
     state = local_coordinator.grant_table.members.get(host)
@@ -46,38 +50,47 @@
 
 
 @apply.register
-def _apply_inquire(message: exchange.Inquire, node, host: str, address: str) -> None:
+def _apply_inquire(
+    message: exchange.Inquire, participant, host: str, address: str
+) -> None:
     now = clocks.read_clock()
-    silence = now - node.member.answered_at
-    local_coordinator = node.coordinator
+    silence = now - participant.member.answered_at
+    local_coordinator = participant.coordinator
     if local_coordinator is not None and local_coordinator.has_authority(now):
         silence = 0.0
     answer = exchange.Contact(
         number=message.number,
-        epoch=node.member.epoch,
+        epoch=participant.member.epoch,
         silence=min(silence, member.LONGEST_SILENCE_SECONDS),
     )
-    node.send(host, address, answer)
+    participant.send(host, address, answer)
 
 
 @apply.register
-def _apply_contact(message: exchange.Contact, node, host: str, address: str) -> None:
-    if message.number != node.inquiry:
+def _apply_contact(
+    message: exchange.Contact, participant, host: str, address: str
+) -> None:
+    if message.number != participant.inquiry:
         return
-    newer = message.epoch > node.member.epoch
-    node.contacts[host] = 0.0 if newer else message.silence
+    newer = message.epoch > participant.member.epoch
+    participant.contacts[host] = 0.0 if newer else message.silence
 
 
 @apply.register
-def _apply_announce(message: exchange.Announce, node, host: str, address: str) -> None:
-    if message.epoch < node.member.epoch:
+def _apply_announce(
+    message: exchange.Announce, participant, host: str, address: str
+) -> None:
+    if message.epoch < participant.member.epoch:
         return
-    local_coordinator = node.coordinator
+    local_coordinator = participant.coordinator
     if local_coordinator is not None and local_coordinator.active:
         if message.epoch <= local_coordinator.record.epoch:
             return
         local_coordinator.stop("a newer coordinator announced itself")
-    if message.epoch > node.member.epoch or node.member.coordinator_record is None:
+    if (
+        message.epoch > participant.member.epoch
+        or participant.member.coordinator_record is None
+    ):
         record = assignments.CoordinatorRecord(
             host=host,
             address=address,
@@ -85,26 +98,33 @@
             epoch=message.epoch,
             lease=0,
         )
-        node.member.follow(record)
-    node.member.ping()
+        participant.member.follow(record)
+    participant.member.ping()
 
 
 @apply.register
-def _apply_locate(message: exchange.Locate, node, host: str, address: str) -> None:
-    record = node.member.coordinator_record
-    if record is not None and node.member.answered_at > 0.0:
+def _apply_locate(
+    message: exchange.Locate, participant, host: str, address: str
+) -> None:
+    record = participant.member.coordinator_record
+    if record is not None and participant.member.answered_at > 0.0:
         located = exchange.Located(
             host=record.host,
             address=record.address,
             incarnation=record.incarnation,
             epoch=record.epoch,
         )
-        node.send(host, address, located)
+        participant.send(host, address, located)
 
 
 @apply.register
-def _apply_located(message: exchange.Located, node, host: str, address: str) -> None:
-    if node.member.coordinator_record is not None or message.host == node.identity.host:
+def _apply_located(
+    message: exchange.Located, participant, host: str, address: str
+) -> None:
+    if (
+        participant.member.coordinator_record is not None
+        or message.host == participant.identity.host
+    ):
         return
     record = assignments.CoordinatorRecord(
         host=message.host,
@@ -113,10 +133,12 @@
         epoch=message.epoch,
         lease=0,
     )
-    node.member.follow(record)
-    node.member.ping()
+    participant.member.follow(record)
+    participant.member.ping()
 
 
 @apply.register
-def _apply_document(message: exchange.Document, node, host: str, address: str) -> None:
-    node.member.receive_document(message)
+def _apply_document(
+    message: exchange.Document, participant, host: str, address: str
+) -> None:
+    participant.member.receive_document(message)
--- a/hyssopshelf/authority/election.py
+++ b/hyssopshelf/authority/election.py
@@ -86,4 +86,4 @@
         return 2 * (len(contacts) + 1) > others + 1
     if 2 * (len(contacts) + 1) >= others + 1:
         return True
-    return not contacts and silence > timing.ALONE_SECONDS
+    return not contacts and silence > timing.ISOLATED_TAKEOVER_SECONDS
--- a/hyssopshelf/authority/participant.py
+++ b/hyssopshelf/authority/participant.py
@@ -169,7 +169,7 @@
             return (
                 local_coordinator is not None
                 and local_coordinator.active
-                and local_coordinator.caretaker
+                and local_coordinator.interim
             )
         return election.find_takeover_reason(self.member, clocks.read_clock()) == reason
 
@@ -194,7 +194,7 @@
                 and await self._others_agree(strict=True)
                 and self._should_go_on(reason)
             ):
-                self._become_caretaker()
+                self._become_interim_coordinator()
             return
         entry = found.ok_value
         current = None
@@ -277,11 +277,13 @@
         local_coordinator.grant_table.confirmed_at = now
         if current is not None:
             local_coordinator.grant_table.predecessor_ended_at = now
-        self._lead(local_coordinator, reason)
+        self._start_coordinating(local_coordinator, reason)
         local_coordinator.run_in_background(renewal.renew(local_coordinator))
         local_coordinator.run_in_background(self._coordinate(local_coordinator))
 
-    def _lead(self, local_coordinator: coordinator.Coordinator, reason: str) -> None:
+    def _start_coordinating(
+        self, local_coordinator: coordinator.Coordinator, reason: str
+    ) -> None:
         before = self.member.coordinator_record
         if self.coordinator is not None:
             self.coordinator.stop("continues with the store")
@@ -291,7 +293,7 @@
                 "epoch": local_coordinator.record.epoch,
                 "reason": reason,
                 "before": before.host if before is not None else "",
-                "caretaker": local_coordinator.caretaker,
+                "caretaker": local_coordinator.interim,
             },
         )
         self.member.follow(local_coordinator.record)
@@ -326,12 +328,12 @@
             local_coordinator.allocate_connections()
             if local_coordinator.members_changed:
                 local_coordinator.publish_members()
-            if local_coordinator.caretaker:
+            if local_coordinator.interim:
                 continue
             if clocks.read_clock() - listed_at > MEMBER_LIST_SECONDS:
                 listed_at = clocks.read_clock()
                 await self._list_members(local_coordinator)
-                await local_coordinator.expel_silent()
+                await local_coordinator.remove_silent_members()
 
     async def _load(self, local_coordinator) -> int | None:
         """Load assignments and members; return the revision of the assignments."""
@@ -358,7 +360,7 @@
                 local_coordinator.add_member(record)
         return True
 
-    def _become_caretaker(self) -> None:
+    def _become_interim_coordinator(self) -> None:
         """Grant the last assignments while nobody reaches the store."""
         local_member = self.member
         record = assignments.CoordinatorRecord(
@@ -375,7 +377,7 @@
             revision=0,
             store=self.store,
             send=self.send,
-            caretaker=True,
+            interim=True,
         )
         local_coordinator.store_contact_at = (
             local_member.store_age_at - local_member.store_age
@@ -384,7 +386,7 @@
         for host, known in local_member.members.items():
             if host != self.identity.host:
                 local_coordinator.add_member(known)
-        self._lead(local_coordinator, election.SILENT_WITHOUT_STORE)
+        self._start_coordinating(local_coordinator, election.SILENT_WITHOUT_STORE)
         local_coordinator.run_in_background(self._wait_for_store())
         local_coordinator.run_in_background(self._serve(local_coordinator))
 
--- a/hyssopshelf/authority/tests/test_rules.py
+++ b/hyssopshelf/authority/tests/test_rules.py
@@ -84,7 +84,7 @@
     silence = timing.SILENCE_SECONDS + 0.1
     assert not election.is_agreed(5, {}, silence, False)
     assert not election.is_agreed(5, {"a": 3.0}, silence, False)
-    assert election.is_agreed(5, {}, timing.ALONE_SECONDS + 0.1, False)
+    assert election.is_agreed(5, {}, timing.ISOLATED_TAKEOVER_SECONDS + 0.1, False)
 
 
 def test_a_caretaker_needs_a_majority():
--- a/hyssopshelf/authority/timing.py
+++ b/hyssopshelf/authority/timing.py
@@ -22,7 +22,7 @@
 SILENCE_SECONDS = 1.1
 """Time without an answer of the coordinator after which it is replaced."""
 
-ALONE_SECONDS = 4.0
+ISOLATED_TAKEOVER_SECONDS = 4.0
 """Silence after which a member that reaches no other one takes over. A live
 coordinator would have removed its registration by then."""
 
@@ -45,7 +45,7 @@
 """Age of the coordinator's last contact with the store above which a successor
 that reaches the store takes over."""
 
-EXPULSION_SECONDS = 2.5
+MEMBER_TIMEOUT_SECONDS = 2.5
 """Silence of a member after which the coordinator removes its registration."""
 
 MARGIN_SECONDS = 0.05
