--- a/hyssopshelf/authority/allocation.py
+++ b/hyssopshelf/authority/allocation.py
@@ -11,14 +11,14 @@
 MAXIMUM_HOLDERS = 4
 """Hosts that hold the connections of an endpoint that accepts fewer."""
 
-CONNECTIONS_A_HOLDER = 10
+CONNECTIONS_PER_HOLDER = 10
 """Connections that make one more holder worthwhile."""
 
 SMALL_CAPACITY = 0.75
 """Cores below which a host holds connections for others only if no larger one
 is left; forwarded statements of an endpoint need about a third of a core."""
 
-SPARE_WEIGHT = 1.0
+BASE_WEIGHT = 1.0
 """Weight of a node without demand, in connections, so that it can start."""
 
 
@@ -41,15 +41,15 @@
     if not nodes or limit <= 0:
         return dict.fromkeys(nodes, 0)
     if limit < len(nodes):
-        wanting = sorted(nodes, key=lambda node: (-demand[node], node))
-        chosen = set(wanting[:limit])
+        ranked = sorted(nodes, key=lambda node: (-demand[node], node))
+        chosen = set(ranked[:limit])
         return {node: int(node in chosen) for node in nodes}
     spare = limit - len(nodes)
-    weights = {node: demand[node] + SPARE_WEIGHT for node in nodes}
+    weights = {node: demand[node] + BASE_WEIGHT for node in nodes}
     total = sum(weights.values())
     shares = {node: 1 + int(spare * weights[node] / total) for node in nodes}
-    rest = limit - sum(shares.values())
-    for node in sorted(nodes, key=lambda node: (-weights[node], node))[:rest]:
+    remainder = limit - sum(shares.values())
+    for node in sorted(nodes, key=lambda node: (-weights[node], node))[:remainder]:
         shares[node] += 1
     return shares
 
@@ -81,7 +81,7 @@
     limit: int,
     place: str,
     region: str,
-    nodes: list[HolderCandidate],
+    candidates: list[HolderCandidate],
     current: list[str],
 ) -> list[str]:
     """Return the hosts that hold an endpoint's connections.
@@ -90,26 +90,26 @@
     then does not keep the others waiting. Otherwise few large hosts near the
     endpoint hold them; present holders stay, so that connections stay open.
     """
-    if limit >= CONNECTIONS_FOR_ALL * len(nodes):
-        return [node.host for node in nodes]
-    count = max(MINIMUM_HOLDERS, min(MAXIMUM_HOLDERS, limit // CONNECTIONS_A_HOLDER))
+    if limit >= CONNECTIONS_FOR_ALL * len(candidates):
+        return [candidate.host for candidate in candidates]
+    count = max(MINIMUM_HOLDERS, min(MAXIMUM_HOLDERS, limit // CONNECTIONS_PER_HOLDER))
     ranked = sorted(
-        nodes,
-        key=lambda node: (
-            node.capacity <= SMALL_CAPACITY,
-            node.place != place,
-            node.region != region,
-            node.host not in current,
-            -node.capacity,
-            node.host,
+        candidates,
+        key=lambda candidate: (
+            candidate.capacity <= SMALL_CAPACITY,
+            candidate.place != place,
+            candidate.region != region,
+            candidate.host not in current,
+            -candidate.capacity,
+            candidate.host,
         ),
     )
-    return [node.host for node in ranked[: min(count, limit)]]
+    return [candidate.host for candidate in ranked[: min(count, limit)]]
 
 
 def allocate_all(
     endpoints: list[tuple[str, str, str, int]],
-    nodes: list[HolderCandidate],
+    candidates: list[HolderCandidate],
     current: dict[str, list[str]],
 ) -> tuple[dict[str, dict[str, int]], dict[str, list[str]]]:
     """Return the shares of each node, and the holders of each scarce endpoint.
@@ -123,19 +123,21 @@
     current : dict of str to list of str
         Present holders.
     """
-    shares: dict[str, dict[str, int]] = {node.host: {} for node in nodes}
+    shares: dict[str, dict[str, int]] = {candidate.host: {} for candidate in candidates}
     holders: dict[str, list[str]] = {}
     for endpoint, place, region, limit in endpoints:
-        chosen = choose_holders(limit, place, region, nodes, current.get(endpoint, []))
-        if len(chosen) < len(nodes):
+        chosen = choose_holders(
+            limit, place, region, candidates, current.get(endpoint, [])
+        )
+        if len(chosen) < len(candidates):
             holders[endpoint] = chosen
         members = set(chosen)
         demand = {
-            node.host: node.demand.get(endpoint, 0)
-            for node in nodes
-            if node.host in members
+            candidate.host: candidate.demand.get(endpoint, 0)
+            for candidate in candidates
+            if candidate.host in members
         }
         allocated = allocate(limit, demand)
-        for node in nodes:
-            shares[node.host][endpoint] = allocated.get(node.host, 0)
+        for candidate in candidates:
+            shares[candidate.host][endpoint] = allocated.get(candidate.host, 0)
     return shares, holders
--- a/hyssopshelf/authority/change.py
+++ b/hyssopshelf/authority/change.py
@@ -25,19 +25,19 @@
 FINISH_UNPLANNED_SECONDS = 0.1
 """Time in which answers on their way may arrive before an unplanned change."""
 
-REPEAT_SECONDS = 0.2
+RELEASE_REPEAT_SECONDS = 0.2
 """Time between two requests to a member that has not released a primary."""
 
-PROMOTE_SECONDS = 1.0
+PROMOTE_TIMEOUT_SECONDS = 1.0
 """Time for a call to promote."""
 
-EFFECT_SECONDS = 3.0
+PROMOTION_TIMEOUT_SECONDS = 3.0
 """Time in which a promotion takes effect; it takes some hundred milliseconds."""
 
 CATCH_UP_SECONDS = 0.6
 """Time in which the new primary catches up in a planned change."""
 
-CATCH_UP_START = 200
+CATCH_UP_ENTRIES = 200
 """Log entries that a replica may lack when a planned change starts; the primary
 writes some tens a second, so it catches up within the time for it."""
 
@@ -54,7 +54,7 @@
 REFUSED_STATUS = 409
 """Status of a promotion whose endpoint is not running."""
 
-EFFECT_CHECK_SECONDS = 0.05
+PROMOTION_CHECK_SECONDS = 0.05
 """Time between two looks at whether a promotion has taken effect."""
 
 
@@ -86,7 +86,7 @@
         self.promotion_client = promotion_client
         self.local_member = coordinator.local_member
         self.gateway = coordinator.local_member.gateway
-        self._busy: set[str] = set()
+        self._changing: set[str] = set()
         self._demoted_since: dict[str, float] = {}
         self._retry_at: dict[str, float] = collections.defaultdict(float)
 
@@ -97,7 +97,7 @@
             if self.coordinator.may_change(now):
                 failure_reports = self._collect_failure_reports(now)
                 for database in self._list_databases():
-                    self._inspect(database, failure_reports, now)
+                    self._check_database(database, failure_reports, now)
             await asyncio.sleep(CHECK_SECONDS)
 
     def _list_databases(self) -> list[str]:
@@ -111,22 +111,22 @@
             if endpoint.database == database
         }
 
-    def _inspect(self, database: str, failure_reports: dict, now: float) -> None:
-        if database in self._busy or now < self._retry_at[database]:
+    def _check_database(self, database: str, failure_reports: dict, now: float) -> None:
+        if database in self._changing or now < self._retry_at[database]:
             return
         assigned = self.local_member.assignments.databases.get(database)
         endpoints = self._list_endpoints(database)
         if assigned is None:
             if any(endpoint.leads for endpoint in endpoints.values()):
-                self._start(database, self._assign_first(database, endpoints))
+                self._start_change(database, self._assign_first(database, endpoints))
             return
         if assigned.promoting:
-            self._start(database, self._resume(database, assigned))
+            self._start_change(database, self._resume(database, assigned))
             return
         if not endpoints:
             return
         if self._is_released(database, assigned.version):
-            self._start(database, self._reopen(database, assigned))
+            self._start_change(database, self._grant_again(database, assigned))
             return
         demoted = self._is_demoted(database, endpoints.get(assigned.endpoint), now)
         reports, users = self._group_reports(endpoints, failure_reports)
@@ -134,7 +134,7 @@
             assigned, endpoints, reports, demoted, users.get(assigned.endpoint, 0)
         )
         if reason and self.coordinator.grant_table.is_ready_for_change(now):
-            self._start(database, self._change(database, assigned, reason))
+            self._start_change(database, self._change(database, assigned, reason))
 
     def _is_demoted(self, database: str, primary, now: float) -> bool:
         if primary is None or primary.leads:
@@ -152,7 +152,7 @@
             state.reported_releases.get(database, 0) >= version for state in members
         )
 
-    async def _reopen(self, database: str, assigned) -> bool:
+    async def _grant_again(self, database: str, assigned) -> bool:
         """Let all nodes use the same primary again, under a new version."""
         entry = attrs.evolve(assigned, version=assigned.version + 1)
         if not await self._record(database, entry):
@@ -189,22 +189,22 @@
             users[endpoint] = len(hosts)
         return reports, users
 
-    def _start(self, database: str, work) -> None:
-        self._busy.add(database)
-        self.coordinator.run_in_background(self._guard(database, work))
+    def _start_change(self, database: str, work) -> None:
+        self._changing.add(database)
+        self.coordinator.run_in_background(self._run_change(database, work))
 
-    async def _guard(self, database: str, work) -> None:
+    async def _run_change(self, database: str, work) -> None:
         try:
             if not await work:
                 self._retry_at[database] = clocks.read_clock() + RETRY_SECONDS
         finally:
-            self._busy.discard(database)
+            self._changing.discard(database)
 
     async def _assign_first(self, database: str, endpoints: dict) -> bool:
         """Record the endpoint that leads a database that is not assigned yet."""
-        leaders = [endpoint for endpoint in endpoints.values() if endpoint.leads]
+        primaries = [endpoint for endpoint in endpoints.values() if endpoint.leads]
         best = None
-        for endpoint in leaders:
+        for endpoint in primaries:
             status = await self._ask_status(endpoint)
             if status is None or status.role != "primary":
                 continue
@@ -239,7 +239,7 @@
         self.coordinator.revoked.add(database)
         await self._wait_for_release(database, assigned.version, planned)
         now = clocks.read_clock()
-        if not self.coordinator.may_change(now) or not self._still_needs(
+        if not self.coordinator.may_change(now) or not self._is_needed(
             database, assigned, reason, now
         ):
             # The next look reopens the primary under a new version.
@@ -265,7 +265,7 @@
             return False
         return await self._promote(database, entry)
 
-    def _still_needs(self, database: str, assigned, reason: str, now: float) -> bool:
+    def _is_needed(self, database: str, assigned, reason: str, now: float) -> bool:
         """Return whether a change has a reason after the wait for its release."""
         if reason != "gone":
             return True
@@ -324,7 +324,7 @@
         _, position, _, target = max(ranked, key=lambda row: row[:3])
         if planned:
             seen = self.gateway.board.get_positions(database).get_last_position()
-            if seen is not None and seen.number - position.number > CATCH_UP_START:
+            if seen is not None and seen.number - position.number > CATCH_UP_ENTRIES:
                 return None
         return target
 
@@ -350,10 +350,10 @@
             if not grant_holders and own.done():
                 return
             if now >= send_at:
-                send_at = now + REPEAT_SECONDS
+                send_at = now + RELEASE_REPEAT_SECONDS
                 for host in grant_holders:
                     state = self.coordinator.grant_table.members[host]
-                    if now - started > timing.STUCK_SECONDS:
+                    if now - started > timing.RECONNECT_SECONDS:
                         self.local_member.reset(state.address)
                     self.coordinator.send(host, state.address, message)
             await asyncio.sleep(member.RELEASE_CHECK_SECONDS)
@@ -363,10 +363,10 @@
         deadline = clocks.read_clock() + CATCH_UP_SECONDS
         old = self._list_endpoints(database).get(assigned.endpoint)
         last = await self._ask_status(old) if old is not None else None
-        goal = last.position if last is not None else None
-        while goal is not None and clocks.read_clock() < deadline:
+        target_position = last.position if last is not None else None
+        while target_position is not None and clocks.read_clock() < deadline:
             status = await self._ask_status(target)
-            if status is not None and status.position >= goal:
+            if status is not None and status.position >= target_position:
                 break
             await asyncio.sleep(member.RELEASE_CHECK_SECONDS)
         return target
@@ -374,7 +374,7 @@
     async def _promote(self, database: str, entry) -> bool:
         """Call until the promotion takes effect, then grant the new primary."""
         started = clocks.read_clock()
-        deadline = started + EFFECT_SECONDS
+        deadline = started + PROMOTION_TIMEOUT_SECONDS
         accepted = False
         while clocks.read_clock() < deadline:
             if not self.coordinator.may_change(clocks.read_clock()):
@@ -384,7 +384,7 @@
                     database,
                     entry.endpoint,
                     self.coordinator.record.epoch,
-                    PROMOTE_SECONDS,
+                    PROMOTE_TIMEOUT_SECONDS,
                 )
                 accepted = answer.is_ok()
                 if not accepted:
@@ -412,14 +412,14 @@
             ):
                 await self._complete(database, entry, status, started)
                 return True
-            await asyncio.sleep(EFFECT_CHECK_SECONDS)
+            await asyncio.sleep(PROMOTION_CHECK_SECONDS)
         # Another target gets a new version, so that the two are never confused.
         return False
 
     async def _complete(self, database: str, entry, status, started: float) -> None:
-        done = attrs.evolve(entry, term=status.term, promoting=False)
+        final = attrs.evolve(entry, term=status.term, promoting=False)
         self.local_member.assignments = self.local_member.assignments.replace(
-            database, done
+            database, final
         )
         self.coordinator.revoked.discard(database)
         self.coordinator.renew_own_grants()
@@ -434,21 +434,21 @@
                 "seconds": round(clocks.read_clock() - started, 3),
             },
         )
-        self.coordinator.run_in_background(self._complete_demotions(database, done))
+        self.coordinator.run_in_background(self._complete_demotions(database, final))
 
-    async def _complete_demotions(self, database: str, done) -> None:
+    async def _complete_demotions(self, database: str, final) -> None:
         """Record the end of a change and make old primaries follow."""
         await self.recorder.save()
         for _ in range(DEMOTE_ATTEMPTS):
             others = [
                 endpoint
                 for endpoint in self._list_endpoints(database).values()
-                if endpoint.id != done.endpoint and endpoint.leads
+                if endpoint.id != final.endpoint and endpoint.leads
             ]
             if not others:
                 return
             for endpoint in others:
-                await self._demote(endpoint, done.term)
+                await self._demote(endpoint, final.term)
             await asyncio.sleep(1.0)
 
     async def _demote(self, endpoint, term: int) -> None:
--- a/hyssopshelf/authority/coordinator.py
+++ b/hyssopshelf/authority/coordinator.py
@@ -16,10 +16,10 @@
     timing,
 )
 
-SUCCESSORS = 3
+SUCCESSOR_COUNT = 3
 """Members that are named to take over first."""
 
-OBSERVATION_SECONDS = 3.0
+OBSERVATION_RETENTION_SECONDS = 3.0
 """Age above which an observation of a primary's log is forgotten."""
 
 
@@ -66,7 +66,7 @@
         self.holders_version = 0
         self.members_changed = False
         self._published_at = float("-inf")
-        self._packed: dict[str, tuple[int, bytes]] = {}
+        self._compressed: dict[str, tuple[int, bytes]] = {}
         self._observations: dict[str, tuple[int, float, int, int]] = {}
         self._registering: set[str] = set()
         self._tasks: set[asyncio.Task] = set()
@@ -97,14 +97,14 @@
             self.add_member(make_record(ping, host, address))
             known = self.grant_table.members[host]
         known.address = address
-        if ping.stamp and ping.held > timing.STUCK_SECONDS:
+        if ping.stamp and ping.held > timing.RECONNECT_SECONDS:
             # The member has not had an answer for a while.
             self.local_member.reset(address)
         follows = ping.epoch == self.record.epoch
         self.grant_table.record_ping(known, ping, follows, now)
         if ping.shares_version == allocation.hash_shares(self.shares.get(host)):
             known.sent_shares = self.shares.get(host)
-        self._observe(ping, now)
+        self._record_observations(ping, now)
         grant = follows and self.has_authority(now)
         if grant:
             self.grant_table.record_grant(known, now)
@@ -171,7 +171,7 @@
                 state.host,
             )
         )
-        return tuple(state.host for state in alive[:SUCCESSORS])
+        return tuple(state.host for state in alive[:SUCCESSOR_COUNT])
 
     def run_in_background(self, work) -> None:
         """Run a coroutine until this node stops coordinating."""
@@ -268,13 +268,13 @@
     def _compress(self, name: str, version: int, data: bytes | None) -> bytes | None:
         if data is None:
             return None
-        kept = self._packed.get(name)
+        kept = self._compressed.get(name)
         if kept is None or kept[0] != version:
             kept = (version, zlib.compress(data, 1))
-            self._packed[name] = kept
+            self._compressed[name] = kept
         return kept[1]
 
-    def _observe(self, ping: exchange.Ping, now: float) -> None:
+    def _record_observations(self, ping: exchange.Ping, now: float) -> None:
         if not ping.stamp:
             return
         # The ping was sent after ``stamp + held`` on this clock.
@@ -289,7 +289,7 @@
         found = member.collect_observations(self.local_member.gateway.board, now)
         for database, (version, at, term, number) in self._observations.items():
             age = round(now - at, 4)
-            if age > OBSERVATION_SECONDS:
+            if age > OBSERVATION_RETENTION_SECONDS:
                 continue
             own = found.get(database)
             if own is None or (own[0], -own[3]) < (version, -age):
@@ -301,7 +301,7 @@
         local_member = self.local_member
         gateway = local_member.gateway
         now = clocks.read_clock()
-        nodes = [
+        candidates = [
             allocation.HolderCandidate(
                 host=self.identity.host,
                 address=self.identity.address,
@@ -311,7 +311,7 @@
                 demand=gateway.measure_demand(reset=False),
             )
         ]
-        nodes += [
+        candidates += [
             allocation.HolderCandidate(
                 host=state.host,
                 address=state.address,
@@ -324,10 +324,10 @@
             if now - state.heard_at < timing.SILENCE_SECONDS and not state.draining
         ]
         self.shares, chosen = allocation.allocate_all(
-            gateway.list_limits(), nodes, self.chosen_holders
+            gateway.list_limits(), candidates, self.chosen_holders
         )
         self.chosen_holders = chosen
-        addresses = {node.host: node.address for node in nodes}
+        addresses = {candidate.host: candidate.address for candidate in candidates}
         holders = {
             endpoint: [(host, addresses[host]) for host in hosts]
             for endpoint, hosts in chosen.items()
@@ -338,7 +338,7 @@
             local_member.apply_holders(holders, self.holders_version)
             logs.write(
                 logs.LogEvent.HOLDERS_CHOSEN,
-                {"endpoints": len(holders), "nodes": len(nodes)},
+                {"endpoints": len(holders), "nodes": len(candidates)},
             )
         gateway.apply_shares(self.shares[self.identity.host])
 
@@ -382,7 +382,7 @@
             address=record.address,
             incarnation=record.incarnation,
             place=record.place,
-            capacity=record.capacity or grants.USUAL_CAPACITY,
+            capacity=record.capacity or grants.DEFAULT_CAPACITY,
             heard_at=clocks.read_clock(),
         )
         logs.write(
@@ -420,7 +420,7 @@
     def publish_members(self) -> None:
         """Bring the list of members that pongs carry up to date, not too often."""
         now = clocks.read_clock()
-        if now < self._published_at + timing.MEMBERS_SECONDS:
+        if now < self._published_at + timing.MEMBER_LIST_SECONDS:
             self.members_changed = True
             return
         self._published_at = now
--- a/hyssopshelf/authority/dispatch.py
+++ b/hyssopshelf/authority/dispatch.py
@@ -70,7 +70,7 @@
 def _apply_contact(
     message: exchange.Contact, participant, host: str, address: str
 ) -> None:
-    if message.number != participant.inquiry:
+    if message.number != participant.inquiry_number:
         return
     newer = message.epoch > participant.member.epoch
     participant.contacts[host] = 0.0 if newer else message.silence
--- a/hyssopshelf/authority/grants.py
+++ b/hyssopshelf/authority/grants.py
@@ -9,10 +9,10 @@
 
 from hyssopshelf.authority import timing
 
-GRANT_EXPIRY_SECONDS = timing.GRANT_SECONDS + timing.MARGIN_SECONDS
+GRANT_EXPIRY_SECONDS = timing.GRANT_SECONDS + timing.CLOCK_MARGIN_SECONDS
 """Time from the sending of a grant to its certain lapse, in seconds."""
 
-USUAL_CAPACITY = 1.0
+DEFAULT_CAPACITY = 1.0
 """Processor share of a host that has not told its own, in cores."""
 
 
@@ -48,7 +48,7 @@
     released: dict[str, int] = attrs.field(factory=dict)
     failure_reports: dict = attrs.field(factory=dict)
     demand: dict = attrs.field(factory=dict)
-    capacity: float = USUAL_CAPACITY
+    capacity: float = DEFAULT_CAPACITY
     sent_shares: dict | None = None
     reported_releases: dict[str, int] = attrs.field(factory=dict)
 
@@ -112,7 +112,7 @@
         if follows and ping.promises and ping.stamp:
             sent_after = min(now, ping.stamp + ping.held)
             member.promised_until = (
-                sent_after + timing.PROMISE_SECONDS - timing.MARGIN_SECONDS
+                sent_after + timing.PROMISE_SECONDS - timing.CLOCK_MARGIN_SECONDS
             )
         self.update_majority(now)
 
--- a/hyssopshelf/authority/member.py
+++ b/hyssopshelf/authority/member.py
@@ -87,7 +87,7 @@
         self.capacity = 1.0
         self.released: dict[str, int] = {}
         self._sequence = 0
-        self._sent: dict[int, float] = {}
+        self._sent_at: dict[int, float] = {}
         self._stamp = 0.0
         self._stamped_at = 0.0
 
@@ -124,15 +124,15 @@
         if promises:
             self.promised_until = now + timing.PROMISE_SECONDS
         heard_at = max(self._stamped_at, self.followed_at)
-        if now - heard_at > timing.STUCK_SECONDS:
+        if now - heard_at > timing.RECONNECT_SECONDS:
             self.reset(record.address)
         self._sequence += 1
-        self._sent = {
+        self._sent_at = {
             number: at
-            for number, at in self._sent.items()
+            for number, at in self._sent_at.items()
             if now - at < timing.GRANT_SECONDS
         }
-        self._sent[self._sequence] = now
+        self._sent_at[self._sequence] = now
         document_cache = self.document_cache
         message = exchange.Ping(
             sequence=self._sequence,
@@ -150,7 +150,7 @@
             shares_version=allocation.hash_shares(self.gateway.shares),
             capacity=self.capacity,
             wants_configuration=self.misses_configuration(
-                now, timing.MISSING_SECONDS * 1.5
+                now, timing.CONFIGURATION_WAIT_SECONDS * 1.5
             ),
             draining=self.gateway.board.draining,
             observations=collect_observations(self.gateway.board, now),
@@ -166,7 +166,7 @@
 
     def receive_pong(self, pong: exchange.Pong, host: str) -> None:
         """Apply an answer of the coordinator."""
-        sent_at = self._sent.pop(pong.sequence, None)
+        sent_at = self._sent_at.pop(pong.sequence, None)
         now = clocks.read_clock()
         record = self.coordinator_record
         if sent_at is None or record is None or record.host != host:
--- a/hyssopshelf/authority/participant.py
+++ b/hyssopshelf/authority/participant.py
@@ -25,7 +25,7 @@
 STORE_RETRY_SECONDS = 1.0
 """Pause between attempts to reach the store without a coordinator in it."""
 
-MEMBER_LIST_SECONDS = 2.0
+MEMBER_READ_SECONDS = 2.0
 """Time between two reads of the registered members."""
 
 
@@ -86,7 +86,7 @@
         self.coordinator: coordinator.Coordinator | None = None
         self.own_revision = 0
         self._tasks: set[asyncio.Task] = set()
-        self.inquiry = 0
+        self.inquiry_number = 0
         self.contacts: dict[str, float] = {}
         self._taking_over = False
         self._next_attempt_at = 0.0
@@ -155,14 +155,14 @@
             delay = election.find_delay(self.member, reason)
             if delay:
                 await asyncio.sleep(delay)
-            if self._should_go_on(reason):
+            if self._is_still_needed(reason):
                 await self._take_over(reason)
         except exceptions.CodecError as error:
             logs.write(logs.LogEvent.DOCUMENT_UNREADABLE, {"reason": str(error)})
         finally:
             self._taking_over = False
 
-    def _should_go_on(self, reason: str) -> bool:
+    def _is_still_needed(self, reason: str) -> bool:
         """Return whether an attempt to take over still has its reason."""
         if reason == election.SILENT_WITHOUT_STORE:
             local_coordinator = self.coordinator
@@ -192,7 +192,7 @@
             if (
                 reason == election.SILENT
                 and await self._others_agree(strict=True)
-                and self._should_go_on(reason)
+                and self._is_still_needed(reason)
             ):
                 self._become_interim_coordinator()
             return
@@ -205,12 +205,12 @@
             if unknown and current.host != self.identity.host:
                 self.member.ping()
                 return
-        own_restart = current is not None and current.host == self.identity.host
-        must_ask = current is not None and not own_restart
+        restarted = current is not None and current.host == self.identity.host
+        must_ask = current is not None and not restarted
         if must_ask and reason == election.SILENT and not await self._others_agree():
             return
         lease = await self.store.grant_lease(timing.LEASE_SECONDS)
-        if lease.is_err() or not self._should_go_on(reason):
+        if lease.is_err() or not self._is_still_needed(reason):
             return
         record = assignments.CoordinatorRecord(
             host=self.identity.host,
@@ -220,7 +220,7 @@
             lease=lease.ok_value,
         )
         expected = {assignments.COORDINATOR_KEY: entry.revision if entry else 0}
-        if current is not None and not own_restart:
+        if current is not None and not restarted:
             expected[
                 assignments.MEMBER_PREFIX + self.identity.host
             ] = await self._find_own_revision()
@@ -229,7 +229,7 @@
         )
         if written.is_err():
             return
-        if own_restart:
+        if restarted:
             # The process that held the lease has ended.
             self.spawn(self._end_lease(current))
         else:
@@ -241,7 +241,7 @@
         found = await self.store.get(assignments.COORDINATOR_KEY)
         small = self.member.capacity <= allocation.SMALL_CAPACITY
         if small and found.is_ok() and found.ok_value is None:
-            await asyncio.sleep(timing.SMALL_HOST_SECONDS)
+            await asyncio.sleep(timing.SMALL_HOST_DELAY_SECONDS)
             found = await self.store.get(assignments.COORDINATOR_KEY)
         return found
 
@@ -330,7 +330,7 @@
                 local_coordinator.publish_members()
             if local_coordinator.interim:
                 continue
-            if clocks.read_clock() - listed_at > MEMBER_LIST_SECONDS:
+            if clocks.read_clock() - listed_at > MEMBER_READ_SECONDS:
                 listed_at = clocks.read_clock()
                 await self._list_members(local_coordinator)
                 await local_coordinator.remove_silent_members()
@@ -416,9 +416,9 @@
                 assignments.decode_member(e.value) for e in page.ok_value.entries
             ]
             others = {r.host: r for r in records if r.host != self.identity.host}
-        self.inquiry += 1
+        self.inquiry_number += 1
         self.contacts = {}
-        message = exchange.Inquire(number=self.inquiry, epoch=self.member.epoch)
+        message = exchange.Inquire(number=self.inquiry_number, epoch=self.member.epoch)
         for record in others.values():
             self.send(record.host, record.address, message)
         deadline = clocks.read_clock() + INQUIRY_SECONDS
--- a/hyssopshelf/authority/tests/test_grants.py
+++ b/hyssopshelf/authority/tests/test_grants.py
@@ -34,7 +34,7 @@
     assert not table.has_authority(NOW + timing.AUTHORITY_SECONDS)
 
 
-def hear(
+def record_pings(
     table: grants.GrantTable, count: int, now: float, promises: bool = True
 ) -> None:
     for state in list(table.members.values())[:count]:
@@ -45,17 +45,17 @@
     """Five of six nodes on one side of a split keep their primaries."""
     table = make_table(5)
     later = NOW + 10
-    hear(table, 3, later)
+    record_pings(table, 3, later)
     assert table.has_authority(later)
     table = make_table(5)
-    hear(table, 2, later)
+    record_pings(table, 2, later)
     assert not table.has_authority(later)
 
 
 def test_a_majority_bridges_a_bounded_time_only():
     table = make_table(5)
     later = NOW + timing.MAJORITY_AUTHORITY_SECONDS
-    hear(table, 4, later)
+    record_pings(table, 4, later)
     assert not table.has_authority(later)
 
 
@@ -70,27 +70,27 @@
 
 def test_a_grant_blocks_a_change_until_it_lapsed_or_was_given_back():
     table = make_table(2)
-    hear(table, 2, NOW)
+    record_pings(table, 2, NOW)
     table.majority_since = NOW - 10
     for state in table.members.values():
         table.record_grant(state, NOW)
     table.members["h0"].released["db"] = 3
     assert table.find_grant_holders("db", 3, NOW + 0.1) == ["h1"]
     assert table.find_grant_holders("db", 4, NOW + 0.1) == ["h0", "h1"]
-    lapsed = NOW + grants.GRANT_EXPIRY_SECONDS
-    hear(table, 1, lapsed)
-    assert table.find_grant_holders("db", 3, lapsed) == []
+    expired = NOW + grants.GRANT_EXPIRY_SECONDS
+    record_pings(table, 1, expired)
+    assert table.find_grant_holders("db", 3, expired) == []
 
 
 def test_silent_members_may_follow_a_caretaker_without_a_majority_here():
     """A coordinator on the small side of a split must wait before a change."""
     table = make_table(5)
-    hear(table, 1, NOW)
+    record_pings(table, 1, NOW)
     for state in table.members.values():
         table.record_grant(state, NOW)
         state.released["db"] = 1 if state.host == "h0" else 0
     after_grants = NOW + timing.GRANT_SECONDS + 1
-    hear(table, 1, after_grants)
+    record_pings(table, 1, after_grants)
     assert len(table.find_grant_holders("db", 1, after_grants)) == 4
     much_later = (
         NOW + grants.GRANT_EXPIRY_SECONDS + timing.MAJORITY_AUTHORITY_SECONDS + 0.1
@@ -101,16 +101,16 @@
 def test_a_successor_waits_for_grants_of_its_predecessor():
     table = make_table(4)
     table.predecessor_ended_at = NOW
-    hear(table, 3, NOW)
+    record_pings(table, 3, NOW)
     # The fourth one, the predecessor itself, stays silent.
     for host in ("h0", "h1", "h2"):
         table.members[host].released["db"] = 1
     early = NOW + timing.AUTHORITY_SECONDS + timing.GRANT_SECONDS
-    hear(table, 3, early)
+    record_pings(table, 3, early)
     assert table.find_grant_holders("db", 1, early) == ["h3"]
-    late = early + 2 * timing.MARGIN_SECONDS
+    late = early + 2 * timing.CLOCK_MARGIN_SECONDS
     table.majority_since = NOW
-    hear(table, 3, late)
+    record_pings(table, 3, late)
     assert table.find_grant_holders("db", 1, late) == []
 
 
--- a/hyssopshelf/authority/tests/test_participant.py
+++ b/hyssopshelf/authority/tests/test_participant.py
@@ -79,15 +79,17 @@
         await store.change(
             {}, {assignments.COORDINATOR_KEY: assignments.encode(record)}
         )
-        assert await measure_start(store, 0.5) < timing.SMALL_HOST_SECONDS / 2
+        assert await measure_start(store, 0.5) < timing.SMALL_HOST_DELAY_SECONDS / 2
 
     asyncio.run(scenario())
 
 
 def test_a_small_host_lets_others_coordinate_a_new_fleet():
     async def scenario():
-        assert await measure_start(FakeStore(), 0.5) >= timing.SMALL_HOST_SECONDS
-        assert await measure_start(FakeStore(), 2.0) < timing.SMALL_HOST_SECONDS / 2
+        assert await measure_start(FakeStore(), 0.5) >= timing.SMALL_HOST_DELAY_SECONDS
+        assert (
+            await measure_start(FakeStore(), 2.0) < timing.SMALL_HOST_DELAY_SECONDS / 2
+        )
 
     asyncio.run(scenario())
 
@@ -100,7 +102,7 @@
         node = make_participant(store, 2.0)
         done = []
 
-        class Leading:
+        class RecordingCoordinator:
             active = False
 
             def allocate_connections(self):
@@ -112,7 +114,7 @@
             def renew_own_grants(self):
                 done.append("renewed")
 
-        await node._serve(Leading())
+        await node._serve(RecordingCoordinator())
         assert done == ["divided", "announced", "renewed"]
 
     asyncio.run(scenario())
--- a/hyssopshelf/authority/tests/test_recorder.py
+++ b/hyssopshelf/authority/tests/test_recorder.py
@@ -81,13 +81,19 @@
     async def scenario():
         store = FakeStore()
         store.delays = [0.02, 0.01, 0.005]
-        writing = make_recorder(store)
+        assignment_recorder = make_recorder(store)
         written = await asyncio.gather(
-            *(writing.record(f"db{n}", make_entry(f"e{n}")) for n in range(3))
+            *(
+                assignment_recorder.record(f"db{n}", make_entry(f"e{n}"))
+                for n in range(3)
+            )
         )
         assert written == [True] * 3
         assert store.databases == {f"db{n}": make_entry(f"e{n}") for n in range(3)}
-        assert writing.coordinator.local_member.assignments.databases == store.databases
+        assert (
+            assignment_recorder.coordinator.local_member.assignments.databases
+            == store.databases
+        )
 
     asyncio.run(scenario())
 
@@ -95,11 +101,11 @@
 def test_a_late_write_does_not_undo_a_newer_one():
     async def scenario():
         store = FakeStore()
-        writing = make_recorder(store)
-        assert await writing.record("db", make_entry("old"))
+        assignment_recorder = make_recorder(store)
+        assert await assignment_recorder.record("db", make_entry("old"))
         store.delays = [float("inf")]
-        assert not await writing.record("db", make_entry("late", 2))
-        assert await writing.record("db", make_entry("new", 3))
+        assert not await assignment_recorder.record("db", make_entry("late", 2))
+        assert await assignment_recorder.record("db", make_entry("new", 3))
         for expected, writes in store.postponed:
             assert store.apply(expected, writes).is_err()
         assert store.databases == {"db": make_entry("new", 3)}
@@ -110,10 +116,10 @@
 def test_a_write_whose_answer_was_lost_does_not_stop_the_next_one():
     async def scenario():
         store = FakeStore()
-        writing = make_recorder(store)
+        assignment_recorder = make_recorder(store)
         store.lost = 1
-        assert not await writing.record("db", make_entry("one"))
-        assert await writing.record("db", make_entry("two", 2))
+        assert not await assignment_recorder.record("db", make_entry("one"))
+        assert await assignment_recorder.record("db", make_entry("two", 2))
         assert store.databases == {"db": make_entry("two", 2)}
 
     asyncio.run(scenario())
@@ -122,11 +128,11 @@
 def test_a_replaced_coordinator_writes_nothing():
     async def scenario():
         store = FakeStore()
-        writing = make_recorder(store)
-        assert await writing.record("db", make_entry("one"))
+        assignment_recorder = make_recorder(store)
+        assert await assignment_recorder.record("db", make_entry("one"))
         store.record_revision += 1
-        assert not await writing.record("db", make_entry("two", 2))
-        assert not await writing.save()
+        assert not await assignment_recorder.record("db", make_entry("two", 2))
+        assert not await assignment_recorder.save()
         assert store.databases == {"db": make_entry("one")}
 
     asyncio.run(scenario())
--- a/hyssopshelf/authority/tests/test_rules.py
+++ b/hyssopshelf/authority/tests/test_rules.py
@@ -97,7 +97,7 @@
     assert election.find_next_epoch(3000 + 17) == 4000
 
 
-def spread(reports: list) -> dict:
+def report_for_all(reports: list) -> dict:
     """Return reports of nodes that use all endpoints."""
     return dict.fromkeys(("p", "a", "b"), reports)
 
@@ -108,26 +108,26 @@
 
 def test_one_node_alone_does_not_replace_a_primary_at_once():
     reports = [{"p": make_failure_report(0.6)}] + [{}] * 5
-    assert not suspicion.is_suspected(spread(reports), "p", ["a", "b"], 6)
+    assert not suspicion.is_suspected(report_for_all(reports), "p", ["a", "b"], 6)
 
 
 def test_few_holders_replace_a_primary_that_nobody_else_can_judge():
     """Of 77 nodes four hold its connections."""
     reports = [{"p": make_failure_report(0.6)}] * 2 + [{}] * 2
-    assert suspicion.is_suspected(spread(reports), "p", ["a", "b"], 4)
-    assert not suspicion.is_suspected(spread(reports[1:]), "p", ["a", "b"], 4)
-    assert not suspicion.is_suspected(spread(reports), "p", ["a", "b"], 77)
+    assert suspicion.is_suspected(report_for_all(reports), "p", ["a", "b"], 4)
+    assert not suspicion.is_suspected(report_for_all(reports[1:]), "p", ["a", "b"], 4)
+    assert not suspicion.is_suspected(report_for_all(reports), "p", ["a", "b"], 77)
 
 
 def test_the_only_user_of_a_primary_is_enough():
     assert suspicion.is_suspected(
-        spread([{"p": make_failure_report(0.6)}]), "p", ["a"], 1
+        report_for_all([{"p": make_failure_report(0.6)}]), "p", ["a"], 1
     )
 
 
 def test_a_quarter_of_the_nodes_replaces_a_primary():
     reports = [{"p": make_failure_report(0.6)}] * 2 + [{}] * 4
-    assert suspicion.is_suspected(spread(reports), "p", ["a", "b"], 6)
+    assert suspicion.is_suspected(report_for_all(reports), "p", ["a", "b"], 6)
 
 
 def test_a_primary_is_kept_if_no_other_endpoint_is_reached_better():
@@ -138,13 +138,13 @@
             "b": make_failure_report(2),
         }
     ] * 3
-    assert not suspicion.is_suspected(spread(reports), "p", ["a", "b"], 3)
+    assert not suspicion.is_suspected(report_for_all(reports), "p", ["a", "b"], 3)
 
 
 def test_a_flapping_primary_is_kept():
     """A success between failures starts the time anew."""
     reports = [{"p": make_failure_report(0.2)}] * 6
-    assert not suspicion.is_suspected(spread(reports), "p", ["a"], 6)
+    assert not suspicion.is_suspected(report_for_all(reports), "p", ["a"], 6)
 
 
 def test_reasons_for_a_change():
@@ -162,19 +162,24 @@
 
     assigned = assignments.Assignment(endpoint="p", term=1, version=1)
     both = {"p": endpoint("p"), "a": endpoint("a")}
-    assert suspicion.find_change_reason(assigned, both, spread([{}]), False, 1) == ""
     assert (
-        suspicion.find_change_reason(assigned, {"a": both["a"]}, spread([{}]), False, 1)
+        suspicion.find_change_reason(assigned, both, report_for_all([{}]), False, 1)
+        == ""
+    )
+    assert (
+        suspicion.find_change_reason(
+            assigned, {"a": both["a"]}, report_for_all([{}]), False, 1
+        )
         == "gone"
     )
     leaving = {**both, "p": endpoint("p", leaving=True)}
     assert (
-        suspicion.find_change_reason(assigned, leaving, spread([{}]), False, 1)
+        suspicion.find_change_reason(assigned, leaving, report_for_all([{}]), False, 1)
         == "leaving"
     )
     assert (
         suspicion.find_change_reason(
-            assigned, {"p": leaving["p"]}, spread([{}]), False, 1
+            assigned, {"p": leaving["p"]}, report_for_all([{}]), False, 1
         )
         == ""
     )
@@ -301,16 +306,16 @@
 def test_a_restarted_coordinator_chooses_the_same_holders_at_once():
     """Each other choice would leave connections that count against the limit."""
     local_coordinator = make_coordinator([], 0)
-    serving = gateway.Gateway(
+    serving_gateway = gateway.Gateway(
         board=blackboard.GatewayBlackboard(place="p0", region="r", regions={}),
         endpoint_codec=None,
     )
-    serving.board.endpoints = {f"e{n}": make_endpoint(n) for n in range(3)}
-    serving.board.configuration = catalog.Configuration(
+    serving_gateway.board.endpoints = {f"e{n}": make_endpoint(n) for n in range(3)}
+    serving_gateway.board.configuration = catalog.Configuration(
         version=1, routes={}, connections={"db": 46}, limits=catalog.Limits()
     )
     local_coordinator.local_member = types.SimpleNamespace(
-        gateway=serving,
+        gateway=serving_gateway,
         capacity=0.5,
         document_cache=member.DocumentCache(),
         apply_holders=lambda holders, version: None,
--- a/hyssopshelf/authority/timing.py
+++ b/hyssopshelf/authority/timing.py
@@ -48,14 +48,14 @@
 MEMBER_TIMEOUT_SECONDS = 2.5
 """Silence of a member after which the coordinator removes its registration."""
 
-MARGIN_SECONDS = 0.05
+CLOCK_MARGIN_SECONDS = 0.05
 """Allowance for clocks that run at different rates."""
 
 TAKEOVER_STEP_SECONDS = 0.25
 """Pause between the attempts of successors; a round trip between regions and a call
 to the store fit into it, so that one wins without a race."""
 
-STUCK_SECONDS = 0.9
+RECONNECT_SECONDS = 0.9
 """Age of the last answer above which the connection to a peer is opened anew; two
 pings and their answers fit into it."""
 
@@ -63,12 +63,12 @@
 """Compressed size up to which a configuration travels in answers to pings. A link of
 5 Mbit/s carries one for each of 77 members in 0.8 s."""
 
-MISSING_SECONDS = 1.0
+CONFIGURATION_WAIT_SECONDS = 1.0
 """Time after which a member reads a configuration itself that it knows of and has
 not received; half a second more, and it asks the coordinator for it."""
 
-MEMBERS_SECONDS = 0.5
+MEMBER_LIST_SECONDS = 0.5
 """Least time between two new lists of members."""
 
-SMALL_HOST_SECONDS = 0.4
+SMALL_HOST_DELAY_SECONDS = 0.4
 """Pause of a small host before it coordinates a fleet that has no coordinator yet."""
