--- a/hyssopshelf/authority/allocation.py
+++ b/hyssopshelf/authority/allocation.py
@@ -1,41 +1,49 @@
-"""Pattern: scarce connections follow the demand, and nobody is left without one."""
+"""Allocation of each endpoint's limited connections to the nodes.
+
+Connections follow the demand. An endpoint that accepts many gives every node some;
+one that accepts few has a few holders, and the other nodes forward to them.
+"""
 
 import zlib
 
 import attrs
 
 CONNECTIONS_FOR_ALL = 2
-"""Connections a node that an endpoint must accept for all nodes to hold some."""
+"""Connections per node that an endpoint must accept for all nodes to hold some."""
 
 MINIMUM_HOLDERS = 2
 MAXIMUM_HOLDERS = 4
-"""Hosts that hold the connections of an endpoint that accepts fewer."""
+"""Bounds on the number of holders of an endpoint that accepts fewer."""
 
 CONNECTIONS_PER_HOLDER = 10
-"""Connections that make one more holder worthwhile."""
+"""Connections that an endpoint must accept for each holder beyond the minimum."""
 
 SMALL_CAPACITY = 0.75
-"""Cores below which a host holds connections for others only if no larger one
-is left; forwarded statements of an endpoint need about a third of a core."""
+"""Cores up to which a host holds scarce connections only if no larger host is left;
+forwarded statements of one endpoint need about a third of a core."""
 
 BASE_WEIGHT = 1.0
-"""Weight of a node without demand, in connections, so that it can start."""
+"""Weight added to each node's demand, in connections, so that a node without demand
+can open some when its first clients arrive."""
 
 
 def allocate(limit: int, demand: dict[str, int]) -> dict[str, int]:
     """Return each node's share of an endpoint's connections.
 
+    Each node gets one, and the others follow the demand. If there are fewer
+    connections than nodes, the nodes of greatest demand get one each.
+
     Parameters
     ----------
     limit : int
         Connections that the endpoint accepts.
     demand : dict of str to int
-        Connections that each node could use.
+        Connections that each node could use, by host.
 
     Returns
     -------
     dict of str to int
-        Shares; their sum is at most the limit.
+        Shares by host; their sum is at most the limit.
     """
     nodes = sorted(demand)
     if not nodes or limit <= 0:
@@ -54,9 +62,9 @@
     return shares
 
 
-def hash_shares(own: dict[str, int] | None) -> int:
-    """Return a number that tells one node's shares from others."""
-    return zlib.crc32(repr(sorted((own or {}).items())).encode())
+def hash_shares(shares: dict[str, int] | None) -> int:
+    """Return a checksum of one node's shares, by which it detects new ones."""
+    return zlib.crc32(repr(sorted((shares or {}).items())).encode())
 
 
 @attrs.frozen(kw_only=True)
@@ -67,6 +75,8 @@
     ----------
     capacity : float
         Processor share of its host, in cores.
+    demand : dict of str to int
+        Connections that it could use, by endpoint.
     """
 
     host: str
@@ -86,9 +96,10 @@
 ) -> list[str]:
     """Return the hosts that hold an endpoint's connections.
 
-    All nodes hold some if there are enough for two each; a transaction of one client
-    then does not keep the others waiting. Otherwise few large hosts near the
-    endpoint hold them; present holders stay, so that connections stay open.
+    All nodes hold some if there are two for each, so that a transaction of one
+    client does not keep the others waiting. Otherwise a few large hosts near the
+    endpoint do; current holders come before equal hosts, so that connections stay
+    open.
     """
     if limit >= CONNECTIONS_FOR_ALL * len(candidates):
         return [candidate.host for candidate in candidates]
@@ -112,16 +123,23 @@
     candidates: list[HolderCandidate],
     current: dict[str, list[str]],
 ) -> tuple[dict[str, dict[str, int]], dict[str, list[str]]]:
-    """Return the shares of each node, and the holders of each scarce endpoint.
+    """Return each node's shares, and the holders of endpoints that few nodes use.
 
     Parameters
     ----------
     endpoints : list of (id, place, region, limit)
         Endpoints with the connections that they accept.
-    nodes : list of Node
+    candidates : list of HolderCandidate
         Nodes that are alive.
     current : dict of str to list of str
-        Present holders.
+        Current holders, by endpoint.
+
+    Returns
+    -------
+    shares : dict of str to dict
+        Connections by host and endpoint.
+    holders : dict of str to list of str
+        Hosts by endpoint, without the endpoints that all nodes hold.
     """
     shares: dict[str, dict[str, int]] = {candidate.host: {} for candidate in candidates}
     holders: dict[str, list[str]] = {}
--- a/hyssopshelf/authority/grants.py
+++ b/hyssopshelf/authority/grants.py
@@ -1,8 +1,8 @@
-"""Pattern: nothing changes while somebody may still act on the old state.
+"""Grants and promises that the coordinator tracks for each member.
 
-The coordinator's account of grants and promises. A grant counts from the sending
-of the answer, which is later than the member's own count; a promise counts from
-an instant before the ping was sent. Both errors are on the safe side.
+A primary is not replaced while a member may still use it. The coordinator counts
+a grant from the sending of its answer, later than the member does, and a promise
+from before the sending of the ping; both errors are on the safe side.
 """
 
 import attrs
@@ -10,30 +10,36 @@
 from hyssopshelf.authority import timing
 
 GRANT_EXPIRY_SECONDS = timing.GRANT_SECONDS + timing.CLOCK_MARGIN_SECONDS
-"""Time from the sending of a grant to its certain lapse, in seconds."""
+"""Time from the sending of a grant until it has certainly expired, in seconds."""
 
 DEFAULT_CAPACITY = 1.0
-"""Processor share of a host that has not told its own, in cores."""
+"""Processor share assumed for a host that has not reported its own, in cores."""
 
 
 @attrs.define(kw_only=True)
 class MemberState:
-    """What the coordinator knows of a member.
+    """State of a member as the coordinator knows it.
 
     Attributes
     ----------
-    sent_shares : dict or None
-        Shares that the member was sent last.
+    heard_at : float
+        Time of the last ping.
     granted_until : float
-        Time at which the last grant has certainly lapsed.
+        Time at which the last grant has certainly expired.
     promised_until : float
         Time up to which the member does not take over.
     follows : bool
-        Whether it has answered to this coordinator.
+        Whether its last ping carried this coordinator's epoch.
     released : dict of str to int
-        Newest assignment version given back to this coordinator, by database.
-    abandoned : dict of str to int
-        Newest assignment version that the member does not use again.
+        Newest assignment version released to this coordinator, by database.
+    failure_reports : dict of str to FailureReport
+        Failing endpoints that the member reported, by id.
+    demand : dict of str to int
+        Connections that the member could use, by endpoint.
+    sent_shares : dict or None
+        Shares of connections that the member was sent last.
+    reported_releases : dict of str to int
+        Newest assignment version that the member does not use again, by database.
     """
 
     host: str
@@ -57,15 +63,16 @@
 class GrantTable:
     """Grants and promises of one coordinator.
 
-    A majority of all members that follows one coordinator keeps any other one from
-    a majority of promises, so the two never extend grants at the same time.
+    While a majority of all members follows one coordinator, no other one gets the
+    promises of a majority, so two never extend grants at the same time.
 
     Attributes
     ----------
     members : dict of str to MemberState
-        Registered members by host, this node left out.
+        Registered members by host, without this node.
     confirmed_at : float
-        Time at which the store last confirmed a coordinator, a sending time.
+        Sending time of the last renewal or write by which the store confirmed a
+        coordinator.
     predecessor_ended_at : float
         Time at which the store ended the earlier coordinator's lease.
     majority_since : float
@@ -81,8 +88,8 @@
     def find_authority_end(self) -> float:
         """Return the time up to which no other coordinator can change anything.
 
-        The store confirmed the lease a short time ago, or members that promised
-        not to follow another one keep it from the majority it needs.
+        Until then a renewal of the lease is recent enough, or members that promised
+        not to take over keep any other coordinator from the majority it needs.
         """
         end = self.confirmed_at + timing.AUTHORITY_SECONDS
         promises = sorted(
@@ -95,11 +102,11 @@
         return max(end, min(bound, promises[needed - 1]))
 
     def has_authority(self, now: float) -> bool:
-        """Return whether no other coordinator can have changed anything."""
+        """Return whether no other coordinator can have changed an assignment."""
         return now < self.find_authority_end()
 
     def record_ping(self, member: MemberState, ping, follows: bool, now: float):
-        """Apply a member's ping; ``follows`` if it has this coordinator's epoch."""
+        """Apply a member's ping; ``follows`` if it carries this epoch."""
         member.heard_at = now
         member.follows = follows
         member.draining = ping.draining
@@ -117,7 +124,10 @@
         self.update_majority(now)
 
     def update_majority(self, now: float) -> None:
-        """Note whether a majority of the members follows."""
+        """Update the time since which a majority of the members has followed.
+
+        This node counts as a follower; a member does while its pings arrive.
+        """
         followers = 1 + sum(
             1
             for state in self.members.values()
@@ -129,15 +139,16 @@
             self.majority_since = min(self.majority_since, now)
 
     def record_grant(self, member: MemberState, now: float) -> None:
-        """Note that an answer with a grant is sent."""
+        """Record that an answer with a grant is being sent."""
         member.granted_until = now + GRANT_EXPIRY_SECONDS
 
     def find_grant_expiry(self, member: MemberState) -> float:
-        """Return the time at which the member's grants have lapsed.
+        """Return the time at which all grants of a member have expired.
 
-        Earlier coordinators act on renewals before the end of their lease. Members
-        that this coordinator does not hear may follow one without the store,
-        which acts on the promises of a majority.
+        It covers grants of other coordinators, too. An earlier one may have acted
+        on a renewal sent before its lease ended. A member that this coordinator
+        does not hear may follow an interim coordinator, which needs no store but
+        the promises of a majority.
         """
         renewed = (
             self.predecessor_ended_at + timing.AUTHORITY_SECONDS + GRANT_EXPIRY_SECONDS
@@ -150,14 +161,14 @@
         return min(longest, max(member.granted_until, renewed, promised))
 
     def is_ready_for_change(self, now: float) -> bool:
-        """Return whether a change would not wait long for a silent member."""
+        """Return whether a change would not have to wait for a silent member."""
         return all(
             state.follows or now >= self.find_grant_expiry(state)
             for state in self.members.values()
         )
 
     def find_grant_holders(self, database: str, version: int, now: float) -> list[str]:
-        """Return the members that may still use an assignment."""
+        """Return the hosts that may still use an assignment up to ``version``."""
         self.update_majority(now)
         return [
             host
--- a/hyssopshelf/authority/timing.py
+++ b/hyssopshelf/authority/timing.py
@@ -1,45 +1,46 @@
 """Times of the protocol between coordinator and members, in seconds.
 
-Each follows from the interval of pings: a member may miss two answers before its
-grant lapses, and a successor takes over at about that time.
+Each follows from the ping interval: a member may miss two answers before its
+grant expires, and a successor takes over at about that time.
 """
 
 PING_SECONDS = 0.4
 """Time between two pings of a member."""
 
 GRANT_SECONDS = 2.0
-"""Validity of a grant, counted from the sending of the ping that it answers."""
+"""Validity of a grant, counted by the member from the sending of its ping."""
 
 PROMISE_SECONDS = 0.8
-"""Time for which a member promises not to take over, from the sending of a ping."""
+"""Time for which a member promises not to take over, from the sending of its ping."""
 
 PROMISE_CONTACT_SECONDS = 0.55
-"""Age of the last answer up to which a ping carries a promise."""
+"""Age of the coordinator's last answer up to which a ping carries a promise."""
 
 ELECTION_CHECK_SECONDS = 0.1
-"""Time between two looks at whether the coordinator has to be replaced."""
+"""Time between two checks whether the coordinator has to be replaced."""
 
 SILENCE_SECONDS = 1.1
-"""Time without an answer of the coordinator after which it is replaced."""
+"""Time without an answer of the coordinator after which a member takes over."""
 
 ISOLATED_TAKEOVER_SECONDS = 4.0
-"""Silence after which a member that reaches no other one takes over. A live
-coordinator would have removed its registration by then."""
+"""Silence after which a member that reaches no other member takes over. A live
+coordinator would have removed its registration by then, and the write that records
+the takeover would fail."""
 
 AUTHORITY_SECONDS = 2.0
-"""Validity of the coordinator's authority, from the sending of a renewal."""
+"""Validity of the coordinator's authority, from the sending of a lease renewal."""
 
 MAJORITY_AUTHORITY_SECONDS = 20.0
 """Validity of its authority while a majority of the members promises not to take
-over. It bridges an outage of the store, and bounds the wait of a successor that
+over. It covers an outage of the store, and bounds the wait of a successor that
 reaches no majority."""
 
 RENEWAL_SECONDS = 0.5
 """Time between two renewals of the coordinator's lease."""
 
 LEASE_SECONDS = 20.0
-"""Time to live of the coordinator's lease. Only its explicit end matters, so it
-outlives outages of the store."""
+"""Time to live of the coordinator's lease. A successor ends the lease explicitly, so
+the time is long enough to outlast an outage of the store."""
 
 STORE_CONTACT_SECONDS = 1.1
 """Age of the coordinator's last contact with the store above which a successor
@@ -53,22 +54,23 @@
 
 TAKEOVER_STEP_SECONDS = 0.25
 """Pause between the attempts of successors; a round trip between regions and a call
-to the store fit into it, so that one wins without a race."""
+to the store fit into it, so that one succeeds before the next one tries."""
 
 RECONNECT_SECONDS = 0.9
-"""Age of the last answer above which the connection to a peer is opened anew; two
-pings and their answers fit into it."""
+"""Age of the last answer above which the connection to a peer is reopened; two pings
+and their answers fit into it."""
 
 SMALL_DOCUMENT_BYTES = 6 * 1024
-"""Compressed size up to which a configuration travels in answers to pings. A link of
-5 Mbit/s carries one for each of 77 members in 0.8 s."""
+"""Compressed size up to which answers to pings carry a configuration. A link of
+5 Mbit/s carries one to each of 77 members in 0.8 s."""
 
 CONFIGURATION_WAIT_SECONDS = 1.0
-"""Time after which a member reads a configuration itself that it knows of and has
-not received; half a second more, and it asks the coordinator for it."""
+"""Time after which a member that knows of a newer configuration and has not received
+it reads it from the store; after half a second more it asks the coordinator."""
 
 MEMBER_LIST_SECONDS = 0.5
-"""Least time between two new lists of members."""
+"""Minimum time between two lists of members that the coordinator publishes."""
 
 SMALL_HOST_DELAY_SECONDS = 0.4
-"""Pause of a small host before it coordinates a fleet that has no coordinator yet."""
+"""Pause of a small host before it coordinates a fleet without a coordinator, so that
+a larger host can be first."""
