--- a/hyssopshelf/authority/allocation.py
+++ b/hyssopshelf/authority/allocation.py
@@ -16,7 +16,7 @@
 """Bounds on the number of holders of an endpoint that accepts fewer."""
 
 CONNECTIONS_PER_HOLDER = 10
-"""Connections that an endpoint must accept for each holder beyond the minimum."""
+"""Connections per holder from which the number of holders follows."""
 
 SMALL_CAPACITY = 0.75
 """Cores up to which a host holds scarce connections only if no larger host is left;
@@ -98,8 +98,8 @@
 
     All nodes hold some if there are two for each, so that a transaction of one
     client does not keep the others waiting. Otherwise a few large hosts near the
-    endpoint do; current holders come before equal hosts, so that connections stay
-    open.
+    endpoint do; among these, current holders are preferred, so that connections
+    stay open.
     """
     if limit >= CONNECTIONS_FOR_ALL * len(candidates):
         return [candidate.host for candidate in candidates]
--- a/hyssopshelf/authority/assignments.py
+++ b/hyssopshelf/authority/assignments.py
@@ -1,4 +1,4 @@
-"""Assignments of primaries and their documents in the store."""
+"""Assignments of primaries, and the documents in which the store keeps them."""
 
 import attrs
 import msgpack
@@ -13,18 +13,18 @@
 
 @attrs.frozen(kw_only=True)
 class Assignment:
-    """The endpoint that leads a database.
+    """The endpoint that is a database's primary.
 
     Attributes
     ----------
     endpoint : str
         Id of the endpoint.
     term : int
-        Term in which it leads; 0 while that is not known.
+        Term in which it is the primary; 0 while that is not known.
     version : int
-        Raised with each change of the database's primary.
+        Increased with each change of the database's primary.
     promoting : bool
-        True from before the promotion until it was seen to take effect.
+        Whether its promotion has been recorded and has not yet taken effect.
     """
 
     endpoint: str
@@ -35,12 +35,12 @@
 
 @attrs.frozen(kw_only=True)
 class Assignments:
-    """All assignments.
+    """The assignments of all databases, stored as one document.
 
     Attributes
     ----------
     version : int
-        Raised with each change.
+        Increased with each change.
     databases : dict of str to Assignment
         Assignment by database.
     """
@@ -56,14 +56,15 @@
 
 @attrs.frozen(kw_only=True)
 class CoordinatorRecord:
-    """Who coordinates.
+    """The node that coordinates, as the store and the members know it.
 
     Attributes
     ----------
     epoch : int
-        Raised with each change of the coordinator; the fencing token.
+        Increased with each change of the coordinator; the fencing token.
     lease : int
-        Lease that the coordinator renews; ending it ends its authority.
+        Lease that the coordinator renews; ending it ends its authority. 0 if the
+        record comes from a message, or the coordinator is an interim one.
     """
 
     host: str
@@ -80,7 +81,7 @@
     Attributes
     ----------
     capacity : float
-        Processor share of its host in cores, 0 if it is not known.
+        Processor share of its host in cores, 0 if not known.
     """
 
     host: str
@@ -91,12 +92,18 @@
 
 
 def encode(value) -> bytes:
-    """Return the document of an attrs object."""
+    """Encode an attrs object as a document for the store."""
     return msgpack.packb(attrs.asdict(value))
 
 
 def decode_assignments(data: bytes) -> Assignments:
-    """Decode a document of assignments."""
+    """Decode the document of all assignments.
+
+    Raises
+    ------
+    CodecError
+        If the document is damaged or lacks a field.
+    """
     fields = unpack(data)
     try:
         databases = {
@@ -108,12 +115,24 @@
 
 
 def decode_coordinator(data: bytes) -> CoordinatorRecord:
-    """Decode the document of the coordinator."""
+    """Decode a coordinator's record.
+
+    Raises
+    ------
+    CodecError
+        If the document is damaged or has other fields.
+    """
     return _decode_record(CoordinatorRecord, data)
 
 
 def decode_member(data: bytes) -> MemberRecord:
-    """Decode the document of a member."""
+    """Decode a member's registration.
+
+    Raises
+    ------
+    CodecError
+        If the document is damaged or has other fields.
+    """
     return _decode_record(MemberRecord, data)
 
 
@@ -131,7 +150,7 @@
     Raises
     ------
     CodecError
-        If it is not a whole document.
+        If the document is damaged or incomplete.
     """
     try:
         return msgpack.unpackb(data)
--- a/hyssopshelf/authority/dispatch.py
+++ b/hyssopshelf/authority/dispatch.py
@@ -1,4 +1,4 @@
-"""What a node does with each message of the agreement on primaries."""
+"""Handlers of the messages between coordinator and members."""
 
 import functools
 
@@ -8,7 +8,7 @@
 
 @functools.singledispatch
 def apply(message, participant, host: str, address: str) -> None:
-    """Apply a message of the node on ``host``."""
+    """Apply a message that the node on ``host`` sent to this participant."""
     raise NotImplementedError(f"no handler for {type(message).__name__}")
 
 
--- a/hyssopshelf/authority/election.py
+++ b/hyssopshelf/authority/election.py
@@ -1,4 +1,4 @@
-"""When a member takes over as the coordinator."""
+"""Conditions under which a member takes over as the coordinator."""
 
 from hyssopshelf.authority import timing
 
@@ -9,28 +9,28 @@
 SILENT_WITHOUT_STORE = "coordinator is silent and the store does not answer"
 
 EPOCH_STEP = 1000
-"""Step of the epochs that the store records. Caretakers use the numbers between, so
-a recorded coordinator goes before all caretakers before it."""
+"""Step of the epochs that the store records. Interim coordinators use the numbers in
+between, so a recorded coordinator takes precedence over all earlier interim ones."""
 
 NOT_FOUND_STATUS = 404
 CONFLICT_STATUS = 412
 
 MAXIMUM_STEPS = 4
-"""Members that try one after the other; further ones share their steps."""
+"""Number of steps for members that are not successors; further members share them."""
 
 
 def find_takeover_reason(member, now: float) -> str:
     """Return why a member should try to take over now, empty if it should not.
 
-    A member never takes over while a promise of its own is in force, unless the
-    coordinator asks for it.
+    A member does not take over while a promise of its own is in force, unless the
+    coordinator resigns or reports that it does not reach the store.
     """
     record = member.coordinator_record
     if record is None:
         return ABSENT
     own = member.identity.host
     if record.host == own:
-        # An earlier incarnation of this node coordinated.
+        # The coordinator was an earlier incarnation of this node.
         return ABSENT
     if member.resigning and own in member.successors[:1]:
         return RESIGNING
@@ -48,7 +48,10 @@
 
 
 def find_delay(member, reason: str) -> float:
-    """Return the pause before the attempt; successors go first, in their order."""
+    """Return the seconds to wait before an attempt to take over.
+
+    Successors go first, in their order, so that members do not compete.
+    """
     if reason in (ABSENT, RESIGNING):
         return 0.0
     own = member.identity.host
@@ -60,25 +63,29 @@
 
 
 def find_next_epoch(epoch: int) -> int:
-    """Return the epoch of the coordinator that the store records next."""
+    """Return the epoch that the next coordinator writes to the store."""
     return (epoch // EPOCH_STEP + 1) * EPOCH_STEP
 
 
 def is_agreed(
     others: int, contacts: dict[str, float], silence: float, strict: bool
 ) -> bool:
-    """Return whether the other members miss the coordinator as well.
+    """Return whether the other members do not hear the coordinator either.
+
+    A member that hears it prevents the takeover. So that the small side of a split
+    does not take over, at least half of all members must have answered or asked;
+    a member without any answer waits ``ISOLATED_TAKEOVER_SECONDS``.
 
     Parameters
     ----------
     others : int
         Number of other members.
     contacts : dict of str to float
-        Time since each member that answered heard the coordinator, in seconds.
+        Seconds since each member that answered last heard the coordinator.
     silence : float
-        The same time of the member that asks.
+        Seconds since the asking member last heard the coordinator.
     strict : bool
-        Whether a majority must have answered.
+        Whether a majority is required, as without the store.
     """
     if any(heard < timing.SILENCE_SECONDS / 2 for heard in contacts.values()):
         return False
--- a/hyssopshelf/authority/recorder.py
+++ b/hyssopshelf/authority/recorder.py
@@ -1,8 +1,9 @@
-"""Pattern: one writer, one write at a time, and a late write undoes no newer one.
+"""Serialized, conditional writes of the assignments to the store.
 
 Changes of several databases run at the same time and share one document, so their
-writes wait for each other. A write without an answer may take effect seconds later;
-each write expects the revision that the one before it left, so that a late one fails.
+writes are serialized. A write whose answer is lost may take effect seconds later.
+Each write is conditional on the revision that the previous one left, so a late write
+fails instead of undoing a newer one.
 """
 
 import asyncio
@@ -11,7 +12,8 @@
 from hyssopshelf.authority import assignments, election
 
 WRITE_ATTEMPTS = 2
-"""Attempts of a write; the second follows a write that took effect unanswered."""
+"""Attempts of a write; the second one is needed if an earlier write took effect but
+its answer was lost."""
 
 
 class AssignmentRecorder:
@@ -20,9 +22,9 @@
     Parameters
     ----------
     coordinator : Coordinator
-        Its record's revision is a condition of every write.
+        Every write is conditional on the revision of its record.
     revision : int
-        Revision of the assignments that it loaded, 0 without any.
+        Revision of the assignments that it loaded, 0 if there were none.
     """
 
     def __init__(self, *, coordinator, revision: int) -> None:
@@ -31,17 +33,18 @@
         self._lock = asyncio.Lock()
 
     async def record(self, database: str, entry: assignments.Assignment) -> bool:
-        """Write one assignment, then use it; return whether it was written."""
+        """Write one assignment and put it in force; return whether it was written."""
         local_member = self.coordinator.local_member
         async with self._lock:
             if not await self._write(local_member.assignments.replace(database, entry)):
                 return False
-            # A promotion of another database may have ended during the call.
+            # The assignments may have changed during the call: a promotion of
+            # another database puts its result in force without this lock.
             local_member.assignments = local_member.assignments.replace(database, entry)
         return True
 
     async def save(self) -> bool:
-        """Write the assignments in use."""
+        """Write the assignments in force; return whether they were written."""
         async with self._lock:
             return await self._write(self.coordinator.local_member.assignments)
 
@@ -70,14 +73,14 @@
         return False
 
     async def _find_revision(self) -> bool:
-        """Read the revision of the assignments; return whether it is another one.
+        """Read the assignments' revision; return whether it differs from the known one.
 
-        Only this coordinator can have written them: a write of an earlier one fails
-        since the coordinator's record has changed.
+        Only this coordinator can have written them: writes of an earlier one fail
+        because the coordinator's record has changed.
         """
         found = await self.coordinator.store.get(assignments.ASSIGNMENTS_KEY)
         if found.is_err():
             return False
         entry = found.ok_value
-        before, self.revision = self.revision, entry.revision if entry else 0
-        return self.revision != before
+        previous, self.revision = self.revision, entry.revision if entry else 0
+        return self.revision != previous
--- a/hyssopshelf/authority/renewal.py
+++ b/hyssopshelf/authority/renewal.py
@@ -1,4 +1,4 @@
-"""Renewal of the coordinator's lease, whose answers carry its authority."""
+"""Renewal of the coordinator's lease; each renewal extends its authority."""
 
 import asyncio
 
@@ -9,7 +9,10 @@
 
 
 async def renew(local_coordinator) -> None:
-    """Renew the lease while a node coordinates."""
+    """Renew the lease until this node stops coordinating.
+
+    Authority counts from the sending of a renewal, so a late answer extends it less.
+    """
     while local_coordinator.active:
         sent_at = clocks.read_clock()
         renewed = await local_coordinator.store.renew_lease(
@@ -27,7 +30,10 @@
 
 
 async def replace_lease(local_coordinator) -> None:
-    """Get a new lease, or stop if another node coordinates."""
+    """Replace a lease that the store no longer has.
+
+    Stops the coordinator if the store names another one.
+    """
     lease = await local_coordinator.store.grant_lease(timing.LEASE_SECONDS)
     if lease.is_err():
         return
@@ -50,10 +56,10 @@
         if current.epoch == local_coordinator.record.epoch and (
             current.incarnation == local_coordinator.record.incarnation
         ):
-            # This replacement or an earlier one took effect without an answer.
+            # An earlier write of a new lease took effect although its answer was lost.
             local_coordinator.record = current
             local_coordinator.revision = found.ok_value.revision
             local_coordinator.local_member.follow(current)
         else:
-            local_coordinator.stop("replaced in the store")
+            local_coordinator.stop("another coordinator is recorded in the store")
             local_coordinator.local_member.follow(current)
--- a/hyssopshelf/authority/suspicion.py
+++ b/hyssopshelf/authority/suspicion.py
@@ -1,38 +1,40 @@
-"""Pattern: a primary is replaced on the evidence of several nodes.
+"""Decision whether a primary should be replaced, from the reports of several nodes.
 
-One node that does not reach a primary may be cut off itself. A primary is
-replaced when enough of the nodes that use it fail at it and another endpoint is
-reached by more. Where few hosts hold its connections, only they can tell.
+A node that does not reach a primary may be isolated itself. A primary counts as
+unreachable when a quorum of the nodes that use it reports failures and another
+endpoint fails for fewer nodes. If few hosts hold its connections, only their
+reports count.
 """
 
 import math
 
 SUSPECT_SECONDS = 0.5
-"""Time of failures without a success after which a node counts as failing; longer
-than a lost packet's retransmission."""
+"""Time of failures without a success after which a node's report counts; longer than
+the retransmission of a lost packet."""
 
 MINIMUM_FAILURES = 2
-"""Failures in a row of a node that counts as failing."""
+"""Failures in a row after which a node's report counts."""
 
 QUORUM_SHARE = 0.25
-"""Part of the nodes that use a primary which must fail at it."""
+"""Share of the nodes that use a primary whose reports make a quorum."""
 
 MINIMUM_QUORUM = 2
-"""Nodes that must fail at a primary if more than one uses it."""
+"""Smallest quorum of a primary that more than one node uses."""
 
 SINGLE_REPORT_SECONDS = 1.5
-"""Time after which failures of a single node are enough, if all nodes reach
-another endpoint."""
+"""Time of failures after which the report of a single node is enough, if some other
+endpoint is reached by all nodes that use it."""
 
 
 def count_failing(reports: list, endpoint: str, seconds: float) -> int:
-    """Return how many nodes have failed at an endpoint for a time.
+    """Return how many nodes have failed to reach an endpoint for a time.
 
     Parameters
     ----------
     reports : list of dict
-        For each node that uses the endpoint what it sees of failing endpoints, a
-        Reach by endpoint id.
+        For each node that uses the endpoint, its FailureReport by endpoint id.
+    seconds : float
+        Least time since the first failure.
     """
     return sum(
         1
@@ -44,29 +46,31 @@
 
 
 def find_quorum(users: int) -> int:
-    """Return how many nodes must fail at a primary that a number of nodes use."""
+    """Return how many of a primary's users must fail to reach it."""
     quorum = max(MINIMUM_QUORUM, math.ceil(QUORUM_SHARE * users))
     return max(1, min(users, quorum))
 
 
 def is_suspected(reports: dict, primary: str, others: list[str], users: int) -> bool:
-    """Return whether a primary should be replaced because nodes do not reach it.
+    """Return whether a primary should be replaced as unreachable.
 
     Parameters
     ----------
     reports : dict of str to list
         Reports of the nodes that use an endpoint, by its id.
+    others : list of str
+        Endpoints that could replace the primary.
     users : int
-        Nodes that hold connections to the primary.
+        Number of nodes that hold connections to the primary.
     """
     if not others:
         return False
     failing = count_failing(reports[primary], primary, SUSPECT_SECONDS)
-    best = min(count_failing(reports[other], other, 0.0) for other in others)
-    if failing >= find_quorum(users) and best < failing:
+    fewest = min(count_failing(reports[other], other, 0.0) for other in others)
+    if failing >= find_quorum(users) and fewest < failing:
         return True
     single = count_failing(reports[primary], primary, SINGLE_REPORT_SECONDS)
-    return single > 0 and best == 0
+    return single > 0 and fewest == 0
 
 
 def find_change_reason(
@@ -83,9 +87,9 @@
     reports : dict of str to list
         Reports of the nodes that use an endpoint, by its id.
     lapsed : bool
-        Whether the primary has reported itself as a replica for a while.
+        Whether the primary has reported itself as a replica for long enough.
     users : int
-        Nodes that hold connections to the primary.
+        Number of nodes that hold connections to the primary.
     """
     primary = endpoints.get(assigned.endpoint)
     others = [
