--- a/hyssopshelf/authority/exchange.py
+++ b/hyssopshelf/authority/exchange.py
@@ -1,4 +1,4 @@
-"""Messages between coordinator and members."""
+"""Messages between the coordinator, the members and candidates for its role."""
 
 import attrs
 
@@ -7,12 +7,14 @@
 
 @attrs.frozen(kw_only=True)
 class FailureReport:
-    """What a member sees of an endpoint.
+    """A member's report of an endpoint that it fails to reach.
 
     Attributes
     ----------
     failing_seconds : float
         Time since the first failure without a success after it, 0 if none.
+    failures : int
+        Failures in a row.
     """
 
     failing_seconds: float
@@ -22,7 +24,7 @@
 @messages.register("authority.ping")
 @attrs.frozen(kw_only=True)
 class Ping:
-    """A member asks the coordinator for a grant and reports what it sees.
+    """A member's request for a grant, with a report of its state.
 
     Attributes
     ----------
@@ -37,10 +39,14 @@
     capacity : float
         Processor share of the member's host, in cores.
     wants_configuration : bool
-        Whether the member misses a configuration that it should have by now.
+        Whether the member should have received a newer configuration by now.
     observations : dict of str to (int, int, int, float)
         Positions of primaries' logs by database: version of the assignment, term,
-        number, and time since the message that they answer was sent, in seconds.
+        number, and seconds since the sending of the request that showed them.
+    reach : dict of str to FailureReport
+        Endpoints that the member fails to reach, by id.
+    demand : dict of str to int
+        Connections that the member could use, by endpoint.
     released : dict of str to int
         Newest assignment version that the member does not use again, by database.
     """
@@ -70,7 +76,7 @@
 @messages.register("authority.pong")
 @attrs.frozen(kw_only=True)
 class Pong:
-    """The answer to a ping.
+    """The coordinator's answer to a ping, with newer documents.
 
     Attributes
     ----------
@@ -83,14 +89,16 @@
     store_age : float
         Time since the coordinator's last contact with the store, in seconds.
     released : tuple of str
-        Databases whose primary must not be used.
+        Databases whose primary must not be used because a change is in progress.
     assignments, configuration, registry, members : bytes or None
         Newer documents than the member has; None if it is up to date.
+    successors : tuple of str
+        Hosts that should take over first, in this order.
     shares : dict of str to int or None
         The member's connections by endpoint, None if they have not changed.
     holders : dict or None
         Hosts and addresses that hold the connections of endpoints with too few for
-        all; None if the member is up to date.
+        all nodes; None if the member is up to date.
     """
 
     sequence: int
@@ -117,14 +125,14 @@
 @messages.register("authority.release")
 @attrs.frozen(kw_only=True)
 class Release:
-    """The coordinator asks a member to stop using a primary.
+    """The coordinator's request to stop using a primary.
 
     Attributes
     ----------
     version : int
         Newest version of the assignment that must not be used.
     finish_seconds : float
-        Time in which open work may end.
+        Time in which open writes may end.
     """
 
     database: str
@@ -136,7 +144,10 @@
 @messages.register("authority.released")
 @attrs.frozen(kw_only=True)
 class Released:
-    """A member stopped using a primary and acknowledges nothing from it."""
+    """Answer to Release: the member has stopped using the primary.
+
+    It does not acknowledge any further write of it to a client.
+    """
 
     database: str
     version: int
@@ -146,7 +157,7 @@
 @messages.register("authority.announce")
 @attrs.frozen(kw_only=True)
 class Announce:
-    """A coordinator tells that it took over, or that there is news."""
+    """A coordinator's notice that it took over or has news; members ping at once."""
 
     epoch: int
     incarnation: int
@@ -155,7 +166,7 @@
 @messages.register("authority.inquire")
 @attrs.frozen(kw_only=True)
 class Inquire:
-    """A member that wants to take over asks when others heard the coordinator."""
+    """Question of a member that may take over: how long is the coordinator silent."""
 
     number: int
     epoch: int
@@ -164,7 +175,7 @@
 @messages.register("authority.contact")
 @attrs.frozen(kw_only=True)
 class Contact:
-    """Answer to Inquire: time since the last answer of the coordinator."""
+    """Answer to Inquire: seconds since the last answer of the coordinator."""
 
     number: int
     epoch: int
@@ -174,7 +185,7 @@
 @messages.register("authority.locate")
 @attrs.frozen(kw_only=True)
 class Locate:
-    """A node that has just started asks for the coordinator."""
+    """Question of a node that has just started: which node coordinates."""
 
 
 @messages.register("authority.located")
@@ -191,7 +202,7 @@
 @messages.register("authority.document")
 @attrs.frozen(kw_only=True)
 class Document:
-    """A large configuration, sent to one node of each place and passed on there.
+    """A large configuration, sent to one node of each place and relayed there.
 
     Attributes
     ----------
--- a/hyssopshelf/authority/member.py
+++ b/hyssopshelf/authority/member.py
@@ -1,4 +1,4 @@
-"""A member: pings the coordinator and uses the primaries that it grants."""
+"""A node's role as a member: it pings the coordinator and uses granted primaries."""
 
 import asyncio
 import zlib
@@ -10,30 +10,32 @@
 from hyssopshelf.gateway import blackboard, statements
 
 MAXIMUM_OBSERVATION_AGE_SECONDS = 1.0
-"""Age above which an observation of a primary's log is not worth reporting."""
+"""Age above which an observation of a primary's log is not reported."""
 
 ROUNDING_SECONDS = 0.0001
-"""Error of the ages in messages, which have four decimals."""
+"""Bound on the rounding error of ages in messages, which have four decimals."""
 
 LONGEST_SILENCE_SECONDS = 1e6
-"""Silence that is reported of a node which never heard a coordinator."""
+"""Silence reported by a node that has never heard a coordinator."""
 
 RELEASE_CHECK_SECONDS = 0.01
-"""Time between two looks at the writes that are still open, in seconds."""
+"""Time between two checks for writes that are still open."""
 
 
 @attrs.define(kw_only=True)
 class DocumentCache:
-    """Newest documents that a node knows, as the store held them.
+    """Newest documents that a node knows, encoded as in the store.
 
     Attributes
     ----------
     configuration : bytes or None
-        The operator's configuration, with its revision.
+        The operator's configuration; its version is the store's revision.
     registry : bytes or None
-        The registry's entries, with a digest of what they say.
+        The registry's entries; their version is a digest of the content.
     registry_read_at : float
-        Time at which the store had this registry at the latest.
+        Latest time at which the store is known to have had this registry.
+    members : bytes or None
+        The compressed list of members; its version is a checksum.
     """
 
     configuration: bytes | None = None
@@ -46,20 +48,26 @@
 
 
 class Member:
-    """Keeps the grant of this node.
+    """The role of a node that pings the coordinator and holds its grants.
+
+    Every node has this role, the one that coordinates as well. `Participant` joins
+    it to the coordinator that the same process may run.
 
     Parameters
     ----------
     identity : MemberRecord
         This node.
     gateway : Gateway
-        Whose board receives the primary grants.
+        Its board receives the primary grants.
     document_cache : DocumentCache
         Newest documents; shared with the coordinator.
     apply_document : callable
-        Takes ``configuration`` or ``registry`` and puts the document in force.
-    send, reset : callable
-        Take host, address and message; the address of a stuck connection.
+        Takes a name, ``configuration`` or ``registry``, and the encoded document,
+        and puts the document in force.
+    send : callable
+        Takes host, address and message.
+    reset : callable
+        Takes the address of a peer and reopens the connection to it.
     """
 
     def __init__(
@@ -92,7 +100,7 @@
         self._stamped_at = 0.0
 
     def follow(self, record: assignments.CoordinatorRecord) -> None:
-        """Take a node as the coordinator if its epoch is the newest."""
+        """Follow a coordinator unless its epoch is older than the known one."""
         if record.epoch < self.epoch:
             return
         if self.coordinator_record != record:
@@ -112,7 +120,10 @@
         self.coordinator_record = record
 
     def ping(self) -> None:
-        """Send a ping to the coordinator."""
+        """Send a ping to the coordinator, with a promise if it answered recently.
+
+        Does nothing while no other node is known to coordinate.
+        """
         record = self.coordinator_record
         if record is None or record.host == self.identity.host:
             return
@@ -165,7 +176,11 @@
         self.send(record.host, record.address, message)
 
     def receive_pong(self, pong: exchange.Pong, host: str) -> None:
-        """Apply an answer of the coordinator."""
+        """Apply the coordinator's answer to a ping.
+
+        Grants count from the sending of the ping. An answer of another epoch grants
+        nothing.
+        """
         sent_at = self._sent_at.pop(pong.sequence, None)
         now = clocks.read_clock()
         record = self.coordinator_record
@@ -204,11 +219,11 @@
             self.apply_holders(pong.holders, pong.holders_version)
 
     def misses_configuration(self, now: float, seconds: float) -> bool:
-        """Return whether a known configuration has not come for a time."""
+        """Return whether a newer configuration has been missing for a time."""
         return self._missing_since is not None and now - self._missing_since > seconds
 
     def receive_document(self, document: exchange.Document) -> None:
-        """Use a large configuration and pass it on to the members of this place."""
+        """Put a large configuration in force and relay it to members of this place."""
         if document.epoch < self.epoch:
             return
         document_cache = self.document_cache
@@ -222,7 +237,7 @@
                 self.send(record.host, record.address, message)
 
     def apply_holders(self, holders: dict, version: int) -> None:
-        """Use the hosts that hold scarce connections."""
+        """Put in force which hosts hold the connections of scarce endpoints."""
         self.holders_version = version
         self.gateway.forwarder.holders = {
             endpoint: [tuple(holder) for holder in found]
@@ -254,7 +269,15 @@
             self.apply_document("registry", zlib.decompress(pong.registry))
 
     def apply_grants(self, valid_until: float, revoked: tuple[str, ...]) -> None:
-        """Renew the beliefs in all primaries that may be used."""
+        """Renew the grants of all primaries that may be used.
+
+        Parameters
+        ----------
+        valid_until : float
+            Time at which the renewed grants expire.
+        revoked : tuple of str
+            Databases whose primary must not be used.
+        """
         board = self.gateway.board
         changed = False
         for database, entry in self.assignments.databases.items():
@@ -299,7 +322,11 @@
         )
 
     async def release(self, database: str, version: int, finish: float) -> None:
-        """Stop using a primary; return when nothing is acknowledged from it."""
+        """Stop using a primary up to an assignment version.
+
+        Returns once no write is open there, or after ``finish`` seconds, when the
+        grant is dropped; no write of the primary is acknowledged afterwards.
+        """
         board = self.gateway.board
         self.released[database] = max(version, self.released.get(database, 0))
         grant = board.primary_grants.get(database)
@@ -322,14 +349,20 @@
 
 
 def decode_members(data: bytes) -> dict[str, assignments.MemberRecord]:
-    """Decode the list of members."""
+    """Decode the list of members, by host.
+
+    Raises
+    ------
+    CodecError
+        If the decompressed list is damaged or incomplete.
+    """
     fields = assignments.unpack(zlib.decompress(data))
     records = [assignments.MemberRecord(**entry) for entry in fields["members"]]
     return {record.host: record for record in records}
 
 
 def collect_observations(board, now: float) -> dict[str, tuple]:
-    """Return this node's own recent observations of primaries.
+    """Return this node's own recent observations of primaries' logs, by database.
 
     Each is a tuple of assignment version, term, number and age in seconds.
     """
@@ -349,10 +382,10 @@
 
 
 def merge_observations(board, observations: dict, sent_at: float) -> None:
-    """Use observations of other nodes.
+    """Add observations that other nodes made of primaries' logs.
 
-    Their age counts from a time before ``sent_at`` on this node's clock, when
-    the ping that they answer was sent.
+    Their ages are subtracted from ``sent_at``, the sending time of the ping whose
+    answer brought them (at the coordinator now), so that none seems newer than it is.
     """
     for database, (version, term, number, age) in observations.items():
         grant = board.primary_grants.get(database)
@@ -363,7 +396,7 @@
 
 
 def collect_failure_reports(board, now: float) -> dict[str, exchange.FailureReport]:
-    """Return what this node sees of failing endpoints."""
+    """Return reports of the endpoints that this node fails to reach, by id."""
     return {
         endpoint: exchange.FailureReport(
             failing_seconds=round(now - health.failing_since, 3),
