--- a/hyssopshelf/authority/change.py
+++ b/hyssopshelf/authority/change.py
@@ -1,7 +1,7 @@
 """Changes of primary, carried out by the coordinator.
 
 A change stops the use of the old primary everywhere, records the new one in the
-store, promotes it, and grants it once it was seen to lead.
+store, promotes it, and grants it once it reports itself as the primary.
 """
 
 import asyncio
@@ -14,53 +14,53 @@
 from hyssopshelf.gateway import endpoint_connections, probes
 
 CHECK_SECONDS = 0.1
-"""Time between two looks at the primaries, in seconds."""
+"""Time between two checks of the primaries."""
 
 STATUS_SECONDS = 0.4
-"""Time for an endpoint's status; it takes a round trip and a slot."""
+"""Timeout of a request for an endpoint's status; it needs a slot and a round trip."""
 
 FINISH_PLANNED_SECONDS = 0.5
-"""Time in which open work may end before a planned change."""
+"""Time in which open writes may end before a planned change."""
 
 FINISH_UNPLANNED_SECONDS = 0.1
-"""Time in which answers on their way may arrive before an unplanned change."""
+"""Time in which answers in flight may arrive before an unplanned change."""
 
 RELEASE_REPEAT_SECONDS = 0.2
-"""Time between two requests to a member that has not released a primary."""
+"""Time between two requests to a member that has not yet released a primary."""
 
 PROMOTE_TIMEOUT_SECONDS = 1.0
-"""Time for a call to promote."""
+"""Timeout of one call of the platform's promotion API."""
 
 PROMOTION_TIMEOUT_SECONDS = 3.0
-"""Time in which a promotion takes effect; it takes some hundred milliseconds."""
+"""Time in which a promotion must take effect; it takes some hundred milliseconds."""
 
 CATCH_UP_SECONDS = 0.6
-"""Time in which the new primary catches up in a planned change."""
+"""Time in which the new primary may catch up in a planned change."""
 
 CATCH_UP_ENTRIES = 200
-"""Log entries that a replica may lack when a planned change starts; the primary
-writes some tens a second, so it catches up within the time for it."""
+"""Log entries that a replica may lack when a planned change starts; a primary writes
+some tens a second, so the replica catches up within ``CATCH_UP_SECONDS``."""
 
 DEMOTED_SECONDS = 1.5
-"""Time for which a primary reports itself as a replica before it is replaced. A
+"""Time for which a primary reports itself as a replica before it is replaced; a
 registry entry may be that old."""
 
 RETRY_SECONDS = 0.3
 """Pause after a change that could not be carried out."""
 
 DEMOTE_ATTEMPTS = 10
-"""Attempts, a second apart, to make an old primary follow the new one."""
+"""Attempts, a second apart, to demote an old primary to a replica of the new one."""
 
 REFUSED_STATUS = 409
-"""Status of a promotion whose endpoint is not running."""
+"""Status of the promotion API for an endpoint that is not running."""
 
 PROMOTION_CHECK_SECONDS = 0.05
-"""Time between two looks at whether a promotion has taken effect."""
+"""Time between two checks whether a promotion has taken effect."""
 
 
 @attrs.frozen(kw_only=True)
 class ReplicationStatus:
-    """An endpoint's own account of its state."""
+    """An endpoint's role, term and log position, as it reports them itself."""
 
     role: str
     term: int
@@ -68,7 +68,7 @@
 
 
 class ChangeController:
-    """Watches the primaries and replaces them.
+    """Checks the primaries and replaces them where needed.
 
     Parameters
     ----------
@@ -77,7 +77,7 @@
     recorder : AssignmentRecorder
         Writes the assignments to the store.
     promotion_client : object
-        Client of the platform's promote call.
+        Client of the platform's promotion API.
     """
 
     def __init__(self, *, coordinator, recorder, promotion_client) -> None:
@@ -91,7 +91,7 @@
         self._retry_at: dict[str, float] = collections.defaultdict(float)
 
     async def run(self) -> None:
-        """Look at all primaries until the coordinator stops."""
+        """Check all primaries until the coordinator stops."""
         while self.coordinator.active:
             now = clocks.read_clock()
             if self.coordinator.may_change(now):
@@ -144,7 +144,7 @@
         return now - since > DEMOTED_SECONDS
 
     def _is_released(self, database: str, version: int) -> bool:
-        """Return whether a node gave the assignment back for a change that ended."""
+        """Return whether a node released the assignment for a change that ended."""
         if self.local_member.released.get(database, 0) >= version:
             return True
         members = self.coordinator.grant_table.members.values()
@@ -163,7 +163,7 @@
         return True
 
     def _collect_failure_reports(self, now: float) -> dict[str, dict]:
-        """Return what each node that is heard sees of failing endpoints, by host."""
+        """Return the failure reports of each node that is heard, by host."""
         failure_reports = {
             state.host: state.failure_reports
             for state in self.coordinator.grant_table.members.values()
@@ -174,10 +174,10 @@
         return failure_reports
 
     def _group_reports(self, endpoints, failure_reports: dict[str, dict]):
-        """Return the reports on each endpoint, and how many nodes use it.
+        """Return the reports of each endpoint's users, and the number of users.
 
-        A node that holds no connections to an endpoint may keep an old failure, so
-        only its holders count.
+        A node that holds no connections to an endpoint may still report an old
+        failure, so only its holders count.
         """
         reports, users = {}, {}
         for endpoint in endpoints:
@@ -201,7 +201,7 @@
             self._changing.discard(database)
 
     async def _assign_first(self, database: str, endpoints: dict) -> bool:
-        """Record the endpoint that leads a database that is not assigned yet."""
+        """Record the current primary of a database that is not assigned yet."""
         primaries = [endpoint for endpoint in endpoints.values() if endpoint.leads]
         best = None
         for endpoint in primaries:
@@ -242,7 +242,7 @@
         if not self.coordinator.may_change(now) or not self._is_needed(
             database, assigned, reason, now
         ):
-            # The next look reopens the primary under a new version.
+            # The next check grants the primary again, under a new version.
             self.coordinator.revoked.discard(database)
             logs.write(
                 logs.LogEvent.CHANGE_ABANDONED,
@@ -254,7 +254,7 @@
         return await self._replace(database, assigned, target)
 
     async def _replace(self, database: str, assigned, target) -> bool:
-        """Record a released primary's successor and promote it."""
+        """Record the successor of a released primary and promote it."""
         entry = assignments.Assignment(
             endpoint=target.id,
             term=assigned.term,
@@ -266,13 +266,13 @@
         return await self._promote(database, entry)
 
     def _is_needed(self, database: str, assigned, reason: str, now: float) -> bool:
-        """Return whether a change has a reason after the wait for its release."""
+        """Return whether a change is still needed after the wait for the release."""
         if reason != "gone":
             return True
         return assigned.endpoint not in self._list_endpoints(database)
 
     async def _resume(self, database: str, entry) -> bool:
-        """Finish a change that was recorded, perhaps by an earlier coordinator."""
+        """Finish a recorded change, which an earlier coordinator may have started."""
         now = clocks.read_clock()
         grant_holders = self.coordinator.grant_table.find_grant_holders(
             database, entry.version, now
@@ -281,7 +281,7 @@
             not self.coordinator.grant_table.members[host].follows
             for host in grant_holders
         ):
-            # An earlier coordinator may still call.
+            # An earlier coordinator may still be calling the promotion API.
             return False
         self.coordinator.revoked.add(database)
         endpoint = self._list_endpoints(database).get(entry.endpoint)
@@ -293,7 +293,7 @@
         return await self._replace(database, entry, target)
 
     async def _choose_target(self, database: str, assigned, planned: bool):
-        """Return the reachable replica that has received most, or None."""
+        """Return the most advanced replica that the most nodes reach, or None."""
         candidates = [
             endpoint
             for endpoint in self._list_endpoints(database).values()
@@ -329,7 +329,7 @@
         return target
 
     async def _wait_for_release(self, database: str, version: int, planned: bool):
-        """Return when no node uses the assignment any more."""
+        """Ask all grant holders for a release; return when none is left."""
         finish = FINISH_PLANNED_SECONDS if planned else FINISH_UNPLANNED_SECONDS
         message = exchange.Release(
             database=database,
@@ -359,7 +359,7 @@
             await asyncio.sleep(member.RELEASE_CHECK_SECONDS)
 
     async def _catch_up(self, database: str, assigned, target):
-        """Wait until a replica holds all that the old primary acknowledged."""
+        """Wait a bounded time until a replica has the old primary's last entry."""
         deadline = clocks.read_clock() + CATCH_UP_SECONDS
         old = self._list_endpoints(database).get(assigned.endpoint)
         last = await self._ask_status(old) if old is not None else None
@@ -372,7 +372,7 @@
         return target
 
     async def _promote(self, database: str, entry) -> bool:
-        """Call until the promotion takes effect, then grant the new primary."""
+        """Promote a primary and grant it; return whether it took effect in time."""
         started = clocks.read_clock()
         deadline = started + PROMOTION_TIMEOUT_SECONDS
         accepted = False
@@ -413,7 +413,7 @@
                 await self._complete(database, entry, status, started)
                 return True
             await asyncio.sleep(PROMOTION_CHECK_SECONDS)
-        # Another target gets a new version, so that the two are never confused.
+        # Another target gets a new version, so that the two can't be confused.
         return False
 
     async def _complete(self, database: str, entry, status, started: float) -> None:
@@ -437,7 +437,7 @@
         self.coordinator.run_in_background(self._complete_demotions(database, final))
 
     async def _complete_demotions(self, database: str, final) -> None:
-        """Record the end of a change and make old primaries follow."""
+        """Record the end of a change, then demote endpoints that still lead."""
         await self.recorder.save()
         for _ in range(DEMOTE_ATTEMPTS):
             others = [
@@ -469,9 +469,9 @@
         )
 
     async def _record(self, database: str, entry) -> bool:
-        """Write an assignment to the store, then use it."""
+        """Write an assignment and put it in force; a promotion needs a revocation."""
         if self.coordinator.revoked.isdisjoint({database}) and entry.promoting:
-            raise exceptions.InvariantError("a promotion starts without a release")
+            raise exceptions.InvariantError("promotion without a prior release")
         return await self.recorder.record(database, entry)
 
     async def _ask_status(self, endpoint) -> ReplicationStatus | None:
--- a/hyssopshelf/authority/coordinator.py
+++ b/hyssopshelf/authority/coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator: grants assignments to members and feeds them documents."""
+"""The coordinator: grants the use of primaries to members and sends them documents."""
 
 import asyncio
 import zlib
@@ -17,21 +17,24 @@
 )
 
 SUCCESSOR_COUNT = 3
-"""Members that are named to take over first."""
+"""Number of members that are named to take over first."""
 
 OBSERVATION_RETENTION_SECONDS = 3.0
-"""Age above which an observation of a primary's log is forgotten."""
+"""Age above which an observation of a primary's log is no longer passed on."""
 
 
 class Coordinator:
-    """Answers pings while this node coordinates.
+    """Answers the members' pings while this node coordinates.
+
+    Grants need authority: the store or a majority of the members confirmed this node
+    recently. Changes of assignments need a recent confirmation by the store.
 
     Parameters
     ----------
     identity : MemberRecord
         This node.
     local_member : Member
-        The member part of this node; it holds assignments and documents.
+        This node's member; it holds assignments and documents.
     record : CoordinatorRecord
         The record in the store that makes this node the coordinator.
     revision : int
@@ -40,9 +43,9 @@
         Client of the store.
     send : callable
         Takes host, address and message.
-    caretaker : bool
-        Whether the node was chosen by a majority while the store was away; it
-        grants the last assignments and changes none.
+    interim : bool
+        Whether a majority chose this node while the store was unreachable; it
+        grants the last known assignments and changes none.
     """
 
     def __init__(
@@ -73,11 +76,14 @@
         self._had_authority = True
 
     def has_authority(self, now: float) -> bool:
-        """Return whether this node may grant and decide."""
+        """Return whether this node may grant the use of primaries."""
         return self.active and self.grant_table.has_authority(now)
 
     def may_change(self, now: float) -> bool:
-        """Return whether the store confirmed this node a short time ago."""
+        """Return whether the store confirmed this node recently enough for a change.
+
+        Half of the authority's validity is left for the change itself.
+        """
         return (
             self.active
             and not self.interim
@@ -85,7 +91,11 @@
         )
 
     def receive_ping(self, ping: exchange.Ping, host: str, address: str) -> None:
-        """Answer a member's ping."""
+        """Record a member's ping and answer it, with a grant if this node may.
+
+        A host that is not registered yet gets an answer without a grant, and is
+        registered.
+        """
         now = clocks.read_clock()
         known = self.grant_table.members.get(host)
         if known is None:
@@ -93,12 +103,12 @@
             self._answer(ping, host, address, now, grant=False)
             return
         if known.incarnation != ping.incarnation:
-            # A process that has started again.
+            # The member's process was restarted.
             self.add_member(make_record(ping, host, address))
             known = self.grant_table.members[host]
         known.address = address
         if ping.stamp and ping.held > timing.RECONNECT_SECONDS:
-            # The member has not had an answer for a while.
+            # The member has not received recent answers: the connection may be stuck.
             self.local_member.reset(address)
         follows = ping.epoch == self.record.epoch
         self.grant_table.record_ping(known, ping, follows, now)
@@ -111,7 +121,7 @@
         self._answer(ping, host, address, now, grant=grant)
 
     def renew_own_grants(self) -> None:
-        """Use the assignments at this node while it has authority."""
+        """Renew the grants of this node's own member while it has authority."""
         now = clocks.read_clock()
         authority = self.has_authority(now)
         if authority != self._had_authority:
@@ -138,7 +148,7 @@
         member.merge_observations(self.local_member.gateway.board, found, now)
 
     def announce(self) -> None:
-        """Make all members ping now."""
+        """Ask all members to ping now."""
         message = exchange.Announce(
             epoch=self.record.epoch, incarnation=self.identity.incarnation
         )
@@ -146,7 +156,7 @@
             self.send(state.host, state.address, message)
 
     def stop(self, reason: str) -> None:
-        """Stop coordinating."""
+        """Stop coordinating and cancel the coordinator's tasks."""
         if not self.active:
             return
         self.active = False
@@ -158,7 +168,10 @@
         )
 
     def find_successors(self, now: float) -> tuple[str, ...]:
-        """Return the members that should take over first, other places first."""
+        """Return the hosts that should take over first, in this order.
+
+        Small hosts and those in this node's place come last.
+        """
         alive = [
             state
             for state in self.grant_table.members.values()
@@ -224,7 +237,8 @@
     def _pick_configuration(self, ping: exchange.Ping) -> bytes | None:
         """Return the configuration for a member that has an older one.
 
-        A large one would keep the answers to pings waiting on a narrow link.
+        A large one is left out unless the member asks for it; on a narrow link it
+        would delay the answers to other pings.
         """
         document_cache = self.local_member.document_cache
         if ping.configuration_version >= document_cache.configuration_version:
@@ -239,7 +253,10 @@
         return data if len(data) <= timing.SMALL_DOCUMENT_BYTES else None
 
     def publish_configuration(self) -> None:
-        """Send a large configuration to one member of each place, and announce."""
+        """Announce a new configuration; send a large one to a member of each place.
+
+        That member, the largest host of its place, relays it there.
+        """
         document_cache = self.local_member.document_cache
         data = self._compress(
             "configuration",
@@ -277,7 +294,7 @@
     def _record_observations(self, ping: exchange.Ping, now: float) -> None:
         if not ping.stamp:
             return
-        # The ping was sent after ``stamp + held`` on this clock.
+        # On this node's clock the ping was sent after ``stamp + held``.
         sent_after = min(now, ping.stamp + ping.held)
         for database, (version, term, number, age) in ping.observations.items():
             at = sent_after - age
@@ -297,7 +314,10 @@
         return found
 
     def allocate_connections(self) -> None:
-        """Decide which hosts hold how many connections to each endpoint."""
+        """Allocate each endpoint's connections to the nodes and apply the own share.
+
+        Members get theirs with the answers to their pings.
+        """
         local_member = self.local_member
         gateway = local_member.gateway
         now = clocks.read_clock()
@@ -343,7 +363,7 @@
         gateway.apply_shares(self.shares[self.identity.host])
 
     def _pick_shares(self, host: str) -> dict[str, int] | None:
-        """Return a member's shares if it does not have them yet."""
+        """Return a member's shares of connections unless it was sent them already."""
         current = self.shares.get(host)
         state = self.grant_table.members.get(host)
         if current is None or state is None or state.sent_shares == current:
@@ -351,7 +371,7 @@
         return current
 
     def _register(self, ping: exchange.Ping, host: str, address: str) -> None:
-        """Register a member that the store does not list yet."""
+        """Register a host that pings and is not a member yet."""
         if host in self._registering or self.interim:
             return
         self._registering.add(host)
@@ -372,7 +392,10 @@
         self.announce()
 
     def add_member(self, record: assignments.MemberRecord) -> None:
-        """Add a registered member; a new incarnation keeps no grant."""
+        """Add a registered member; a new incarnation holds no grant.
+
+        For a known incarnation only the address is updated.
+        """
         before = self.grant_table.members.get(record.host)
         if before is not None and before.incarnation == record.incarnation:
             before.address = record.address
@@ -392,7 +415,10 @@
         self.publish_members()
 
     async def remove_silent_members(self) -> None:
-        """Remove the registrations of members that do not ping any more."""
+        """Remove the registrations of members that have stopped pinging.
+
+        A member whose grants may still be valid stays registered.
+        """
         now = clocks.read_clock()
         silent = [
             state
@@ -418,7 +444,11 @@
         self.publish_members()
 
     def publish_members(self) -> None:
-        """Bring the list of members that pongs carry up to date, not too often."""
+        """Update the list of members that answers to pings carry.
+
+        Within ``MEMBER_LIST_SECONDS`` of the last update it only notes that the list
+        has changed.
+        """
         now = clocks.read_clock()
         if now < self._published_at + timing.MEMBER_LIST_SECONDS:
             self.members_changed = True
@@ -447,7 +477,7 @@
 def make_record(
     ping: exchange.Ping, host: str, address: str
 ) -> assignments.MemberRecord:
-    """Return the registration of the member that sent a ping."""
+    """Make the registration record of the member that sent a ping."""
     return assignments.MemberRecord(
         host=host,
         address=address,
--- a/hyssopshelf/authority/participant.py
+++ b/hyssopshelf/authority/participant.py
@@ -1,4 +1,4 @@
-"""A node's part in the agreement: member, perhaps coordinator, and the takeover."""
+"""A node's part in the agreement: its member, its coordinator if elected, takeovers."""
 
 import asyncio
 import random
@@ -19,33 +19,40 @@
 )
 
 INQUIRY_SECONDS = 0.4
-"""Time for the answers of other members. Members have no open connections to each
-other, so two are opened, each in one and a half round trips between regions."""
+"""Time for the answers of other members. Members keep no connections to each other, so
+one is opened in each direction, in one and a half round trips between regions each."""
 
 STORE_RETRY_SECONDS = 1.0
-"""Pause between attempts to reach the store without a coordinator in it."""
+"""Pause between attempts to take over through the store while it is unreachable."""
 
 MEMBER_READ_SECONDS = 2.0
-"""Time between two reads of the registered members."""
+"""Time between two reads of the registered members from the store."""
 
 
 class Participant:
-    """Connects the parts to the store, the peers and the clock.
+    """The process's member and, when it is elected, its coordinator.
+
+    It runs both against the store, the peers and the clock, and decides when this
+    node takes over as the coordinator.
 
     Parameters
     ----------
     identity : MemberRecord
         This node.
     gateway : Gateway
-        Receives the beliefs.
+        Receives the primary grants.
     document_cache : DocumentCache
         Newest documents.
+    apply_document : callable
+        As for `Member`.
     store_watcher : object
         Reads documents from the store; ``read_all`` and ``watch`` coroutines.
     store, promotion_client : object
-        Clients of the platform.
-    send, reset : callable
-        Take host, address and message; the address of a stuck connection.
+        Clients of the platform's store and promotion API.
+    send : callable
+        Takes host, address and message.
+    reset : callable
+        Takes the address of a peer and reopens the connection to it.
     seeds : tuple of str
         Addresses of nodes that may know the coordinator.
     capacity : float
@@ -96,21 +103,24 @@
         dispatch.apply(message, self, host, address)
 
     def stop(self) -> None:
-        """End all work at once."""
+        """Stop coordinating and cancel all tasks at once."""
         if self.coordinator is not None:
             self.coordinator.stop("process ends")
         for task in self._tasks:
             task.cancel()
 
     def measure_silence(self, now: float) -> float:
-        """Return the time since a coordinator with authority was heard."""
+        """Return the seconds since a coordinator with authority was last heard."""
         local_coordinator = self.coordinator
         if local_coordinator is not None and local_coordinator.has_authority(now):
             return 0.0
         return now - self.member.answered_at
 
     async def run(self) -> None:
-        """Register, then ping and take over where needed, for ever."""
+        """Register this node, ping the coordinator, and take over where needed.
+
+        Runs until it is cancelled.
+        """
         self.spawn(self._register())
         ping_at = 0.0
         while True:
@@ -163,7 +173,7 @@
             self._taking_over = False
 
     def _is_still_needed(self, reason: str) -> bool:
-        """Return whether an attempt to take over still has its reason."""
+        """Return whether the reason of an attempt to take over still holds."""
         if reason == election.SILENT_WITHOUT_STORE:
             local_coordinator = self.coordinator
             return (
@@ -230,14 +240,17 @@
         if written.is_err():
             return
         if restarted:
-            # The process that held the lease has ended.
+            # The process that held the lease has ended, so nothing waits for its end.
             self.spawn(self._end_lease(current))
         else:
             await self._end_lease(current)
         await self._start(record, written.ok_value, current, reason)
 
     async def _find_record(self):
-        """Read who coordinates; a small host gives others time to be the first."""
+        """Read the coordinator's record from the store.
+
+        If there is none, a small host first gives larger ones time to take over.
+        """
         found = await self.store.get(assignments.COORDINATOR_KEY)
         small = self.member.capacity <= allocation.SMALL_CAPACITY
         if small and found.is_ok() and found.ok_value is None:
@@ -255,7 +268,10 @@
         return self.own_revision
 
     async def _end_lease(self, current) -> None:
-        """End the authority of the earlier coordinator."""
+        """End the earlier coordinator's lease, and so its authority.
+
+        Repeats the call until the store answers.
+        """
         if current is None or not current.lease:
             return
         while True:
@@ -300,7 +316,7 @@
         self.coordinator = local_coordinator
 
     async def _coordinate(self, local_coordinator) -> None:
-        """Load the state that earlier coordinators left, then serve it."""
+        """Load the state of earlier coordinators, then start to serve members."""
         while (revision := await self._load(local_coordinator)) is None:
             await asyncio.sleep(timing.PING_SECONDS)
         local_coordinator.publish_members()
@@ -316,7 +332,8 @@
         await self._serve(local_coordinator)
 
     async def _serve(self, local_coordinator) -> None:
-        # The first answers name the holders, so that nobody connects without need.
+        # Allocate first: members that know a primary but no holders would all
+        # connect to it.
         local_coordinator.allocate_connections()
         local_coordinator.announce()
         local_coordinator.renew_own_grants()
@@ -336,7 +353,11 @@
                 await local_coordinator.remove_silent_members()
 
     async def _load(self, local_coordinator) -> int | None:
-        """Load assignments and members; return the revision of the assignments."""
+        """Load assignments and members; return the revision of the assignments.
+
+        The revision is 0 if there are no assignments yet; None means that the store
+        did not answer.
+        """
         found, listed = await asyncio.gather(
             self.store.get(assignments.ASSIGNMENTS_KEY),
             self._list_members(local_coordinator),
@@ -361,7 +382,7 @@
         return True
 
     def _become_interim_coordinator(self) -> None:
-        """Grant the last assignments while nobody reaches the store."""
+        """Coordinate without the store, and grant the last known assignments."""
         local_member = self.member
         record = assignments.CoordinatorRecord(
             host=self.identity.host,
@@ -391,7 +412,7 @@
         local_coordinator.run_in_background(self._serve(local_coordinator))
 
     async def _wait_for_store(self) -> None:
-        """Become a regular coordinator as soon as the store answers."""
+        """Try to become a regular coordinator until the store answers."""
         while True:
             await asyncio.sleep(STORE_RETRY_SECONDS)
             if not self._taking_over:
@@ -399,9 +420,12 @@
                 self.spawn(self._try_take_over(election.SILENT_WITHOUT_STORE))
 
     async def _others_agree(self, strict: bool = False) -> bool:
-        """Ask the other members whether they miss the coordinator, too.
+        """Ask the other members whether they do not hear the coordinator either.
 
-        ``strict`` asks for answers of a majority.
+        Parameters
+        ----------
+        strict : bool
+            Whether a majority must agree, as without the store.
         """
         others = {
             host: record
@@ -422,7 +446,7 @@
         for record in others.values():
             self.send(record.host, record.address, message)
         deadline = clocks.read_clock() + INQUIRY_SECONDS
-        # The silent coordinator itself does not answer.
+        # The silent coordinator is one of them and does not answer.
         expected = len(others) - 1
         while len(self.contacts) < expected and clocks.read_clock() < deadline:
             await asyncio.sleep(member.RELEASE_CHECK_SECONDS)
@@ -442,7 +466,7 @@
         return agreed
 
     async def release(self, message: exchange.Release, host: str, address: str):
-        """Stop using a primary, then tell the coordinator."""
+        """Stop using a primary, then confirm it to the coordinator."""
         await self.member.release(
             message.database, message.version, message.finish_seconds
         )
@@ -455,7 +479,7 @@
         )
 
     def spawn(self, work) -> None:
-        """Run a coroutine on its own."""
+        """Run a coroutine as a task that `stop` cancels."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
