--- a/hyssopshelf/authority/participant.py
+++ b/hyssopshelf/authority/participant.py
@@ -302,7 +302,7 @@
     ) -> None:
         before = self.member.coordinator_record
         if self.coordinator is not None:
-            self.coordinator.stop("continues with the store")
+            self.coordinator.stop("the store is reachable again")
         logs.write(
             logs.LogEvent.COORDINATION_STARTED,
             {
--- a/hyssopshelf/authority/suspicion.py
+++ b/hyssopshelf/authority/suspicion.py
@@ -86,7 +86,7 @@
         Registered endpoints of the database.
     reports : dict of str to list
         Reports of the nodes that use an endpoint, by its id.
-    lapsed : bool
+    demoted : bool
         Whether the primary has reported itself as a replica for long enough.
     users : int
         Number of nodes that hold connections to the primary.
--- a/hyssopshelf/authority/tests/test_grants.py
+++ b/hyssopshelf/authority/tests/test_grants.py
@@ -1,4 +1,4 @@
-"""Tests that grants, promises and changes of primary exclude each other."""
+"""Tests that a primary is never changed while a grant of it may be in use."""
 
 import hypothesis
 from hypothesis import strategies
@@ -28,7 +28,7 @@
     )
 
 
-def test_authority_lapses_without_store_and_promises():
+def test_authority_expires_without_store_and_promises():
     table = make_table(5)
     assert table.has_authority(NOW + timing.AUTHORITY_SECONDS - 0.01)
     assert not table.has_authority(NOW + timing.AUTHORITY_SECONDS)
@@ -41,8 +41,11 @@
         table.record_ping(state, make_ping(now - 0.1, 0.05, promises), True, now)
 
 
-def test_promises_of_a_majority_bridge_an_outage_of_the_store():
-    """Five of six nodes on one side of a split keep their primaries."""
+def test_promises_of_a_majority_extend_authority_without_the_store():
+    """The larger side of a network partition keeps its primaries.
+
+    Of six nodes, this one and three members that promise are a majority.
+    """
     table = make_table(5)
     later = NOW + 10
     record_pings(table, 3, later)
@@ -52,7 +55,7 @@
     assert not table.has_authority(later)
 
 
-def test_a_majority_bridges_a_bounded_time_only():
+def test_promises_of_a_majority_extend_authority_for_a_bounded_time():
     table = make_table(5)
     later = NOW + timing.MAJORITY_AUTHORITY_SECONDS
     record_pings(table, 4, later)
@@ -60,7 +63,7 @@
 
 
 def test_a_promise_counts_from_before_its_ping_was_sent():
-    """A ping that a freeze or a cut held up must not extend the authority."""
+    """A ping that was delayed by a paused process or network must not count."""
     table = make_table(1)
     later = NOW + 10
     state = table.members["h0"]
@@ -68,7 +71,7 @@
     assert not table.has_authority(later)
 
 
-def test_a_grant_blocks_a_change_until_it_lapsed_or_was_given_back():
+def test_a_grant_blocks_a_change_until_it_expires_or_is_released():
     table = make_table(2)
     record_pings(table, 2, NOW)
     table.majority_since = NOW - 10
@@ -82,8 +85,8 @@
     assert table.find_grant_holders("db", 3, expired) == []
 
 
-def test_silent_members_may_follow_a_caretaker_without_a_majority_here():
-    """A coordinator on the small side of a split must wait before a change."""
+def test_without_a_majority_silent_members_may_follow_an_interim_coordinator():
+    """A coordinator on the small side of a partition must wait before a change."""
     table = make_table(5)
     record_pings(table, 1, NOW)
     for state in table.members.values():
@@ -102,7 +105,7 @@
     table = make_table(4)
     table.predecessor_ended_at = NOW
     record_pings(table, 3, NOW)
-    # The fourth one, the predecessor itself, stays silent.
+    # The fourth member, the predecessor itself, stays silent.
     for host in ("h0", "h1", "h2"):
         table.members[host].released["db"] = 1
     early = NOW + timing.AUTHORITY_SECONDS + timing.GRANT_SECONDS
@@ -120,10 +123,11 @@
     elapsed=strategies.floats(min_value=0, max_value=40),
 )
 def test_two_sides_of_a_split_never_grant_and_change_together(members, sides, elapsed):
-    """The side without the store grants; the side with it may not change then.
+    """While the side without the store grants, the side with it must not change.
 
-    Both coordinators know the same members; each hears those on its side. The
-    one without the store is on the side of ``True`` and knows the last contact.
+    Both coordinators know the same members and hear those on their side. The
+    coordinator without the store is on the side ``True``; the store last confirmed
+    it at ``NOW``.
     """
     granting = grants.GrantTable(confirmed_at=NOW)
     changing = grants.GrantTable(confirmed_at=NOW + elapsed, predecessor_ended_at=NOW)
@@ -134,7 +138,7 @@
             table.members[host] = grants.MemberState(
                 host=host, address="", incarnation=1
             )
-    # Each coordinator is itself one more member, unknown to the other's list.
+    # For each coordinator the other one is one more member.
     granting.members["changer"] = grants.MemberState(
         host="changer", address="", incarnation=1
     )
--- a/hyssopshelf/authority/tests/test_participant.py
+++ b/hyssopshelf/authority/tests/test_participant.py
@@ -1,4 +1,4 @@
-"""Tests of the start of coordination after all nodes were away."""
+"""Tests of the start of coordination after all nodes were stopped."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 @attrs.define(kw_only=True)
 class FakeStore:
-    """A store that answers at once and keeps no leases."""
+    """A store that answers at once and does not track leases."""
 
     entries: dict = attrs.field(factory=dict)
     revision: int = 10
@@ -68,8 +68,11 @@
     return seconds
 
 
-def test_a_restarted_coordinator_goes_on_without_a_pause():
-    """All nodes wait for it, also if its host is small."""
+def test_a_restarted_coordinator_starts_without_a_pause():
+    """Guards against the pause of small hosts when a record names this node.
+
+    All other nodes wait for the recorded coordinator, so it must not wait for them.
+    """
 
     async def scenario():
         store = FakeStore()
@@ -94,27 +97,30 @@
     asyncio.run(scenario())
 
 
-def test_connections_are_divided_before_members_are_told():
-    """Members that know a primary but no holder all connect to it."""
+def test_connections_are_allocated_before_the_announcement():
+    """Guards against members that know a primary but not its holders.
+
+    All of them would connect to it.
+    """
 
     async def scenario():
         store = FakeStore()
         node = make_participant(store, 2.0)
-        done = []
+        calls = []
 
         class RecordingCoordinator:
             active = False
 
             def allocate_connections(self):
-                done.append("divided")
+                calls.append("allocated")
 
             def announce(self):
-                done.append("announced")
+                calls.append("announced")
 
             def renew_own_grants(self):
-                done.append("renewed")
+                calls.append("renewed")
 
         await node._serve(RecordingCoordinator())
-        assert done == ["divided", "announced", "renewed"]
+        assert calls == ["allocated", "announced", "renewed"]
 
     asyncio.run(scenario())
--- a/hyssopshelf/authority/tests/test_recorder.py
+++ b/hyssopshelf/authority/tests/test_recorder.py
@@ -1,4 +1,4 @@
-"""Tests of changes of several databases at the same time, and of late writes."""
+"""Tests of concurrent changes of several databases, and of late writes."""
 
 import asyncio
 import types
@@ -12,22 +12,22 @@
 
 @attrs.frozen(kw_only=True)
 class Failure:
-    """What the store answered."""
+    """An error answer of the store."""
 
     status: int
     reason: str = ""
 
 
 class FakeStore:
-    """A store whose calls take time; it can lose answers and delay calls."""
+    """A store whose calls take time, and that can lose answers and delay calls."""
 
     def __init__(self) -> None:
         self.revision = 10
         self.entry: platform.Entry | None = None
         self.record_revision = 7
         self.delays: list[float] = []
-        self.lost = 0
-        self.postponed: list = []
+        self.lost_answers = 0
+        self.late_writes: list = []
 
     async def get(self, key):
         await asyncio.sleep(0.001)
@@ -36,21 +36,21 @@
     async def change(self, expected, writes):
         if self.delays == [float("inf")]:
             self.delays.clear()
-            self.postponed.append((expected, writes))
+            self.late_writes.append((expected, writes))
             return result.Err(Failure(status=599, reason="no answer"))
         await asyncio.sleep(self.delays.pop(0) if self.delays else 0.001)
         answer = self.apply(expected, writes)
-        if self.lost:
-            self.lost -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             return result.Err(Failure(status=599, reason="no answer"))
         return answer
 
     def apply(self, expected, writes):
-        held = {
+        revisions = {
             assignments.COORDINATOR_KEY: self.record_revision,
             assignments.ASSIGNMENTS_KEY: self.entry.revision if self.entry else 0,
         }
-        if any(held[key] != revision for key, revision in expected.items()):
+        if any(revisions[key] != revision for key, revision in expected.items()):
             return result.Err(Failure(status=412))
         self.revision += 1
         ((key, value),) = writes.items()
@@ -76,7 +76,7 @@
 
 
 def test_changes_at_the_same_time_are_all_kept():
-    """Each change writes the whole document; none leaves another one out."""
+    """Each change writes the whole document and must include the others' results."""
 
     async def scenario():
         store = FakeStore()
@@ -106,7 +106,7 @@
         store.delays = [float("inf")]
         assert not await assignment_recorder.record("db", make_entry("late", 2))
         assert await assignment_recorder.record("db", make_entry("new", 3))
-        for expected, writes in store.postponed:
+        for expected, writes in store.late_writes:
             assert store.apply(expected, writes).is_err()
         assert store.databases == {"db": make_entry("new", 3)}
 
@@ -117,7 +117,7 @@
     async def scenario():
         store = FakeStore()
         assignment_recorder = make_recorder(store)
-        store.lost = 1
+        store.lost_answers = 1
         assert not await assignment_recorder.record("db", make_entry("one"))
         assert await assignment_recorder.record("db", make_entry("two", 2))
         assert store.databases == {"db": make_entry("two", 2)}
--- a/hyssopshelf/authority/tests/test_rules.py
+++ b/hyssopshelf/authority/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Tests of takeovers, suspicion and the division of connections."""
+"""Tests of takeovers, suspected primaries and the allocation of connections."""
 
 import os
 import types
@@ -41,21 +41,21 @@
     return types.SimpleNamespace(**{**values, **fields})
 
 
-def test_nobody_takes_over_from_a_coordinator_that_answers():
+def test_a_coordinator_that_answers_is_not_replaced():
     assert election.find_takeover_reason(make_member(), NOW) == ""
 
 
 def test_a_silent_coordinator_is_replaced():
-    one = make_member(answered_at=NOW - timing.SILENCE_SECONDS - 0.01)
-    assert election.find_takeover_reason(one, NOW) == election.SILENT
+    candidate = make_member(answered_at=NOW - timing.SILENCE_SECONDS - 0.01)
+    assert election.find_takeover_reason(candidate, NOW) == election.SILENT
 
 
 def test_a_promise_is_kept():
-    one = make_member(answered_at=NOW - 9, promised_until=NOW + 0.1)
-    assert election.find_takeover_reason(one, NOW) == ""
+    candidate = make_member(answered_at=NOW - 9, promised_until=NOW + 0.1)
+    assert election.find_takeover_reason(candidate, NOW) == ""
 
 
-def test_the_first_successor_relieves_one_that_resigns():
+def test_the_first_successor_replaces_a_coordinator_that_resigns():
     assert (
         election.find_takeover_reason(make_member(resigning=True), NOW)
         == election.RESIGNING
@@ -64,15 +64,15 @@
     assert election.find_takeover_reason(later, NOW) == ""
 
 
-def test_a_successor_relieves_one_without_the_store():
-    one = make_member(store_age=timing.STORE_CONTACT_SECONDS + 0.1)
-    assert election.find_takeover_reason(one, NOW) == election.STORE_UNREACHABLE
+def test_a_successor_replaces_a_coordinator_without_the_store():
+    candidate = make_member(store_age=timing.STORE_CONTACT_SECONDS + 0.1)
+    assert election.find_takeover_reason(candidate, NOW) == election.STORE_UNREACHABLE
 
 
 def test_a_new_coordinator_gets_time_to_answer():
-    """A member that has just followed a caretaker must not start another one."""
-    one = make_member(answered_at=NOW - 9, followed_at=NOW - 0.3)
-    assert election.find_takeover_reason(one, NOW) == ""
+    """A member that has just followed an interim coordinator must not replace it."""
+    candidate = make_member(answered_at=NOW - 9, followed_at=NOW - 0.3)
+    assert election.find_takeover_reason(candidate, NOW) == ""
 
 
 def test_a_contact_elsewhere_stops_a_takeover():
@@ -80,25 +80,25 @@
     assert election.is_agreed(5, {"a": 2.0, "b": 3.0, "c": 3.0}, 3.0, False)
 
 
-def test_one_that_reaches_few_waits():
+def test_a_member_that_reaches_few_others_waits():
     silence = timing.SILENCE_SECONDS + 0.1
     assert not election.is_agreed(5, {}, silence, False)
     assert not election.is_agreed(5, {"a": 3.0}, silence, False)
     assert election.is_agreed(5, {}, timing.ISOLATED_TAKEOVER_SECONDS + 0.1, False)
 
 
-def test_a_caretaker_needs_a_majority():
+def test_an_interim_coordinator_needs_a_majority():
     assert not election.is_agreed(5, {"a": 3.0, "b": 3.0}, 60.0, True)
     assert election.is_agreed(5, {"a": 3.0, "b": 3.0, "c": 3.0}, 3.0, True)
     assert not election.is_agreed(5, {}, 60.0, True)
 
 
-def test_recorded_epochs_go_before_those_of_caretakers():
+def test_recorded_epochs_exceed_those_of_interim_coordinators():
     assert election.find_next_epoch(3000 + 17) == 4000
 
 
 def report_for_all(reports: list) -> dict:
-    """Return reports of nodes that use all endpoints."""
+    """Return the same reports for all endpoints, as of nodes that use them all."""
     return dict.fromkeys(("p", "a", "b"), reports)
 
 
@@ -111,8 +111,8 @@
     assert not suspicion.is_suspected(report_for_all(reports), "p", ["a", "b"], 6)
 
 
-def test_few_holders_replace_a_primary_that_nobody_else_can_judge():
-    """Of 77 nodes four hold its connections."""
+def test_few_holders_replace_a_primary_that_no_other_node_uses():
+    """Four of 77 nodes hold its connections, so only their reports count."""
     reports = [{"p": make_failure_report(0.6)}] * 2 + [{}] * 2
     assert suspicion.is_suspected(report_for_all(reports), "p", ["a", "b"], 4)
     assert not suspicion.is_suspected(report_for_all(reports[1:]), "p", ["a", "b"], 4)
@@ -125,7 +125,7 @@
     )
 
 
-def test_a_quarter_of_the_nodes_replaces_a_primary():
+def test_failures_of_a_quarter_of_the_nodes_replace_a_primary():
     reports = [{"p": make_failure_report(0.6)}] * 2 + [{}] * 4
     assert suspicion.is_suspected(report_for_all(reports), "p", ["a", "b"], 6)
 
@@ -142,7 +142,7 @@
 
 
 def test_a_flapping_primary_is_kept():
-    """A success between failures starts the time anew."""
+    """A success between failures restarts the time of failures."""
     reports = [{"p": make_failure_report(0.2)}] * 6
     assert not suspicion.is_suspected(report_for_all(reports), "p", ["a"], 6)
 
@@ -193,7 +193,7 @@
         max_size=12,
     ),
 )
-def test_shares_fit_the_limit_and_leave_nobody_out(limit, demand):
+def test_shares_fit_the_limit_and_every_node_gets_one(limit, demand):
     result = allocation.allocate(limit, demand)
     assert set(result) == set(demand)
     assert sum(result.values()) <= limit
@@ -203,7 +203,7 @@
 
 
 def test_shares_follow_the_demand():
-    """A third of the clients enters at a single node of its place."""
+    """A node that is alone in its place may serve a third of the clients."""
     result = allocation.allocate(
         22, {"alone": 9, "b": 2, "c": 2, "d": 1, "e": 1, "f": 1}
     )
@@ -219,7 +219,7 @@
 
 
 def make_coordinator(sent: list, members: int):
-    """Return a coordinator of members in three places that holds a configuration."""
+    """Return a coordinator of members in three places, with a large configuration."""
     local_member = types.SimpleNamespace(
         document_cache=member.DocumentCache(
             configuration=os.urandom(100_000), configuration_version=7
@@ -247,7 +247,7 @@
 
 
 def test_a_large_configuration_leaves_the_coordinator_once_for_each_place():
-    """On a narrow link 76 copies would keep grants waiting for seconds."""
+    """Guards against 76 copies, which would delay grants for seconds on a slow link."""
     sent: list = []
     local_coordinator = make_coordinator(sent, 76)
     local_coordinator.publish_configuration()
@@ -271,7 +271,10 @@
 
 
 def test_only_holders_report_on_a_primary():
-    """A restarted fleet tries all endpoints before it knows their holders."""
+    """Guards against old failures of nodes that are no holders.
+
+    After a restart all nodes try all endpoints until they know the holders.
+    """
     failing = {"p": make_failure_report(3.0)}
     local_coordinator = make_coordinator([], 8)
     local_coordinator.local_member.gateway = types.SimpleNamespace(
@@ -304,7 +307,10 @@
 
 
 def test_a_restarted_coordinator_chooses_the_same_holders_at_once():
-    """Each other choice would leave connections that count against the limit."""
+    """Guards against a change of holders while the members' pings arrive.
+
+    Earlier holders would keep connections that count against the limit.
+    """
     local_coordinator = make_coordinator([], 0)
     serving_gateway = gateway.Gateway(
         board=blackboard.GatewayBlackboard(place="p0", region="r", regions={}),
