--- a/hyssopshelf/authority/change.py
+++ b/hyssopshelf/authority/change.py
@@ -293,7 +293,10 @@
         return await self._replace(database, entry, target)
 
     async def _choose_target(self, database: str, assigned, planned: bool):
-        """Return the most advanced replica that the most nodes reach, or None."""
+        """Return the replica to promote, or None.
+
+        Replicas that fewer nodes fail to reach go first, then the most advanced.
+        """
         candidates = [
             endpoint
             for endpoint in self._list_endpoints(database).values()
--- a/hyssopshelf/authority/election.py
+++ b/hyssopshelf/authority/election.py
@@ -72,9 +72,9 @@
 ) -> bool:
     """Return whether the other members do not hear the coordinator either.
 
-    A member that hears it prevents the takeover. So that the small side of a split
-    does not take over, at least half of all members must have answered or asked;
-    a member without any answer waits ``ISOLATED_TAKEOVER_SECONDS``.
+    A member that hears it prevents the takeover. So that the small side of a
+    network partition does not take over, at least half of all members must take
+    part; a member without any answer waits ``ISOLATED_TAKEOVER_SECONDS``.
 
     Parameters
     ----------
--- a/hyssopshelf/authority/grants.py
+++ b/hyssopshelf/authority/grants.py
@@ -106,7 +106,7 @@
         return now < self.find_authority_end()
 
     def record_ping(self, member: MemberState, ping, follows: bool, now: float):
-        """Apply a member's ping; ``follows`` if it carries this epoch."""
+        """Apply a ping; ``follows`` if it carries this coordinator's epoch."""
         member.heard_at = now
         member.follows = follows
         member.draining = ping.draining
