--- a/hyssopshelf/authority/change.py
+++ b/hyssopshelf/authority/change.py
@@ -1,7 +1,7 @@
 """Changes of primary, carried out by the coordinator.
 
 A change stops the use of the old primary everywhere, records the new one in the
-store, promotes it, and grants it once it was seen to lead.
+store, promotes it, and grants it once it reports itself as the primary.
 """
 
 import asyncio
@@ -14,53 +14,53 @@
 from hyssopshelf.gateway import endpoint_connections, probes
 
 CHECK_SECONDS = 0.1
-"""Time between two looks at the primaries, in seconds."""
+"""Time between two checks of the primaries."""
 
 STATUS_SECONDS = 0.4
-"""Time for an endpoint's status; it takes a round trip and a slot."""
+"""Timeout of a request for an endpoint's status; it needs a slot and a round trip."""
 
 FINISH_PLANNED_SECONDS = 0.5
-"""Time in which open work may end before a planned change."""
+"""Time in which open writes may end before a planned change."""
 
 FINISH_UNPLANNED_SECONDS = 0.1
-"""Time in which answers on their way may arrive before an unplanned change."""
+"""Time in which answers in flight may arrive before an unplanned change."""
 
-REPEAT_SECONDS = 0.2
-"""Time between two requests to a member that has not released a primary."""
+RELEASE_REPEAT_SECONDS = 0.2
+"""Time between two requests to a member that has not yet released a primary."""
 
-PROMOTE_SECONDS = 1.0
-"""Time for a call to promote."""
+PROMOTE_TIMEOUT_SECONDS = 1.0
+"""Timeout of one call of the platform's promotion API."""
 
-EFFECT_SECONDS = 3.0
-"""Time in which a promotion takes effect; it takes some hundred milliseconds."""
+PROMOTION_TIMEOUT_SECONDS = 3.0
+"""Time in which a promotion must take effect; it takes some hundred milliseconds."""
 
 CATCH_UP_SECONDS = 0.6
-"""Time in which the new primary catches up in a planned change."""
+"""Time in which the new primary may catch up in a planned change."""
 
-CATCH_UP_START = 200
-"""Log entries that a replica may lack when a planned change starts; the primary
-writes some tens a second, so it catches up within the time for it."""
+CATCH_UP_ENTRIES = 200
+"""Log entries that a replica may lack when a planned change starts; a primary writes
+some tens a second, so the replica catches up within ``CATCH_UP_SECONDS``."""
 
-LAPSE_SECONDS = 1.5
-"""Time for which a primary reports itself as a replica before it is replaced. A
+DEMOTED_SECONDS = 1.5
+"""Time for which a primary reports itself as a replica before it is replaced; a
 registry entry may be that old."""
 
 RETRY_SECONDS = 0.3
 """Pause after a change that could not be carried out."""
 
 DEMOTE_ATTEMPTS = 10
-"""Attempts, a second apart, to make an old primary follow the new one."""
+"""Attempts, a second apart, to demote an old primary to a replica of the new one."""
 
 REFUSED_STATUS = 409
-"""Status of a promotion whose endpoint is not running."""
+"""Status of the promotion API for an endpoint that is not running."""
 
-EFFECT_CHECK_SECONDS = 0.05
-"""Time between two looks at whether a promotion has taken effect."""
+PROMOTION_CHECK_SECONDS = 0.05
+"""Time between two checks whether a promotion has taken effect."""
 
 
 @attrs.frozen(kw_only=True)
-class Status:
-    """An endpoint's own account of its state."""
+class ReplicationStatus:
+    """An endpoint's role, term and log position, as it reports them itself."""
 
     role: str
     term: int
@@ -68,7 +68,7 @@
 
 
 class ChangeController:
-    """Watches the primaries and replaces them.
+    """Checks the primaries and replaces them where needed.
 
     Parameters
     ----------
@@ -77,7 +77,7 @@
     recorder : AssignmentRecorder
         Writes the assignments to the store.
     promotion_client : object
-        Client of the platform's promote call.
+        Client of the platform's promotion API.
     """
 
     def __init__(self, *, coordinator, recorder, promotion_client) -> None:
@@ -86,18 +86,18 @@
         self.promotion_client = promotion_client
         self.local_member = coordinator.local_member
         self.gateway = coordinator.local_member.gateway
-        self._busy: set[str] = set()
-        self._lapsed_since: dict[str, float] = {}
+        self._changing: set[str] = set()
+        self._demoted_since: dict[str, float] = {}
         self._retry_at: dict[str, float] = collections.defaultdict(float)
 
     async def run(self) -> None:
-        """Look at all primaries until the coordinator stops."""
+        """Check all primaries until the coordinator stops."""
         while self.coordinator.active:
             now = clocks.read_clock()
             if self.coordinator.may_change(now):
-                reaches = self._collect_reaches(now)
+                failure_reports = self._collect_failure_reports(now)
                 for database in self._list_databases():
-                    self._inspect(database, reaches, now)
+                    self._check_database(database, failure_reports, now)
             await asyncio.sleep(CHECK_SECONDS)
 
     def _list_databases(self) -> list[str]:
@@ -111,96 +111,100 @@
             if endpoint.database == database
         }
 
-    def _inspect(self, database: str, reaches: dict, now: float) -> None:
-        if database in self._busy or now < self._retry_at[database]:
+    def _check_database(self, database: str, failure_reports: dict, now: float) -> None:
+        if database in self._changing or now < self._retry_at[database]:
             return
         assigned = self.local_member.assignments.databases.get(database)
         endpoints = self._list_endpoints(database)
         if assigned is None:
             if any(endpoint.leads for endpoint in endpoints.values()):
-                self._start(database, self._assign_first(database, endpoints))
+                self._start_change(database, self._assign_first(database, endpoints))
             return
         if assigned.promoting:
-            self._start(database, self._resume(database, assigned))
+            self._start_change(database, self._resume(database, assigned))
             return
         if not endpoints:
             return
-        if self._is_abandoned(database, assigned.version):
-            self._start(database, self._reopen(database, assigned))
+        if self._is_released(database, assigned.version):
+            self._start_change(database, self._grant_again(database, assigned))
             return
-        lapsed = self._has_lapsed(database, endpoints.get(assigned.endpoint), now)
-        reports, users = self._collect_reports(endpoints, reaches)
-        reason = suspicion.find_reason(
-            assigned, endpoints, reports, lapsed, users.get(assigned.endpoint, 0)
+        demoted = self._is_demoted(database, endpoints.get(assigned.endpoint), now)
+        reports, users = self._group_reports(endpoints, failure_reports)
+        reason = suspicion.find_change_reason(
+            assigned, endpoints, reports, demoted, users.get(assigned.endpoint, 0)
         )
-        if reason and self.coordinator.ledger.is_settled(now):
-            self._start(database, self._change(database, assigned, reason))
+        if reason and self.coordinator.grant_table.is_ready_for_change(now):
+            self._start_change(database, self._change(database, assigned, reason))
 
-    def _has_lapsed(self, database: str, primary, now: float) -> bool:
+    def _is_demoted(self, database: str, primary, now: float) -> bool:
         if primary is None or primary.leads:
-            self._lapsed_since.pop(database, None)
+            self._demoted_since.pop(database, None)
             return False
-        since = self._lapsed_since.setdefault(database, now)
-        return now - since > LAPSE_SECONDS
+        since = self._demoted_since.setdefault(database, now)
+        return now - since > DEMOTED_SECONDS
 
-    def _is_abandoned(self, database: str, version: int) -> bool:
-        """Return whether a node gave the assignment back for a change that ended."""
+    def _is_released(self, database: str, version: int) -> bool:
+        """Return whether a node released the assignment for a change that ended."""
         if self.local_member.released.get(database, 0) >= version:
             return True
-        members = self.coordinator.ledger.members.values()
-        return any(state.abandoned.get(database, 0) >= version for state in members)
+        members = self.coordinator.grant_table.members.values()
+        return any(
+            state.reported_releases.get(database, 0) >= version for state in members
+        )
 
-    async def _reopen(self, database: str, assigned) -> bool:
+    async def _grant_again(self, database: str, assigned) -> bool:
         """Let all nodes use the same primary again, under a new version."""
         entry = attrs.evolve(assigned, version=assigned.version + 1)
         if not await self._record(database, entry):
             return False
-        self.coordinator.closed.discard(database)
+        self.coordinator.revoked.discard(database)
         self.coordinator.renew_own_grants()
         self.coordinator.announce()
         return True
 
-    def _collect_reaches(self, now: float) -> dict[str, dict]:
-        """Return what each node that is heard sees of failing endpoints, by host."""
-        reaches = {
-            state.host: state.reach
-            for state in self.coordinator.ledger.members.values()
+    def _collect_failure_reports(self, now: float) -> dict[str, dict]:
+        """Return the failure reports of each node that is heard, by host."""
+        failure_reports = {
+            state.host: state.failure_reports
+            for state in self.coordinator.grant_table.members.values()
             if now - state.heard_at < timing.SILENCE_SECONDS
         }
         own = self.coordinator.identity.host
-        reaches[own] = member.collect_reach(self.gateway.board, now)
-        return reaches
+        failure_reports[own] = member.collect_failure_reports(self.gateway.board, now)
+        return failure_reports
 
-    def _collect_reports(self, endpoints, reaches: dict[str, dict]):
-        """Return the reports on each endpoint, and how many nodes use it.
+    def _group_reports(self, endpoints, failure_reports: dict[str, dict]):
+        """Return the reports of each endpoint's users, and the number of users.
 
-        A node that holds no connections to an endpoint may keep an old failure, so
-        only its holders count.
+        A node that holds no connections to an endpoint may still report an old
+        failure, so only its holders count.
         """
         reports, users = {}, {}
         for endpoint in endpoints:
             holders = self.coordinator.holders.get(endpoint)
-            hosts = [host for host, _ in holders] if holders else list(reaches)
-            reports[endpoint] = [reaches[host] for host in hosts if host in reaches]
+            hosts = [host for host, _ in holders] if holders else list(failure_reports)
+            reports[endpoint] = [
+                failure_reports[host] for host in hosts if host in failure_reports
+            ]
             users[endpoint] = len(hosts)
         return reports, users
 
-    def _start(self, database: str, work) -> None:
-        self._busy.add(database)
-        self.coordinator.run_in_background(self._guard(database, work))
+    def _start_change(self, database: str, work) -> None:
+        self._changing.add(database)
+        self.coordinator.run_in_background(self._run_change(database, work))
 
-    async def _guard(self, database: str, work) -> None:
+    async def _run_change(self, database: str, work) -> None:
         try:
             if not await work:
                 self._retry_at[database] = clocks.read_clock() + RETRY_SECONDS
         finally:
-            self._busy.discard(database)
+            self._changing.discard(database)
 
     async def _assign_first(self, database: str, endpoints: dict) -> bool:
-        """Record the endpoint that leads a database that is not assigned yet."""
-        leaders = [endpoint for endpoint in endpoints.values() if endpoint.leads]
+        """Record the current primary of a database that is not assigned yet."""
+        primaries = [endpoint for endpoint in endpoints.values() if endpoint.leads]
         best = None
-        for endpoint in leaders:
+        for endpoint in primaries:
             status = await self._ask_status(endpoint)
             if status is None or status.role != "primary":
                 continue
@@ -232,14 +236,14 @@
         target = await self._choose_target(database, assigned, planned)
         if target is None:
             return False
-        self.coordinator.closed.add(database)
+        self.coordinator.revoked.add(database)
         await self._wait_for_release(database, assigned.version, planned)
         now = clocks.read_clock()
-        if not self.coordinator.may_change(now) or not self._still_needs(
+        if not self.coordinator.may_change(now) or not self._is_needed(
             database, assigned, reason, now
         ):
-            # The next look reopens the primary under a new version.
-            self.coordinator.closed.discard(database)
+            # The next check grants the primary again, under a new version.
+            self.coordinator.revoked.discard(database)
             logs.write(
                 logs.LogEvent.CHANGE_ABANDONED,
                 {"database": database, "reason": "no longer needed or allowed"},
@@ -250,7 +254,7 @@
         return await self._replace(database, assigned, target)
 
     async def _replace(self, database: str, assigned, target) -> bool:
-        """Record a released primary's successor and promote it."""
+        """Record the successor of a released primary and promote it."""
         entry = assignments.Assignment(
             endpoint=target.id,
             term=assigned.term,
@@ -261,20 +265,25 @@
             return False
         return await self._promote(database, entry)
 
-    def _still_needs(self, database: str, assigned, reason: str, now: float) -> bool:
-        """Return whether a change has a reason after the wait for its release."""
+    def _is_needed(self, database: str, assigned, reason: str, now: float) -> bool:
+        """Return whether a change is still needed after the wait for the release."""
         if reason != "gone":
             return True
         return assigned.endpoint not in self._list_endpoints(database)
 
     async def _resume(self, database: str, entry) -> bool:
-        """Finish a change that was recorded, perhaps by an earlier coordinator."""
+        """Finish a recorded change, which an earlier coordinator may have started."""
         now = clocks.read_clock()
-        holders = self.coordinator.ledger.find_holders(database, entry.version, now)
-        if any(not self.coordinator.ledger.members[host].follows for host in holders):
-            # An earlier coordinator may still call.
+        grant_holders = self.coordinator.grant_table.find_grant_holders(
+            database, entry.version, now
+        )
+        if any(
+            not self.coordinator.grant_table.members[host].follows
+            for host in grant_holders
+        ):
+            # An earlier coordinator may still be calling the promotion API.
             return False
-        self.coordinator.closed.add(database)
+        self.coordinator.revoked.add(database)
         endpoint = self._list_endpoints(database).get(entry.endpoint)
         if endpoint is not None and await self._promote(database, entry):
             return True
@@ -284,15 +293,18 @@
         return await self._replace(database, entry, target)
 
     async def _choose_target(self, database: str, assigned, planned: bool):
-        """Return the reachable replica that has received most, or None."""
+        """Return the replica to promote, or None.
+
+        Replicas that fewer nodes fail to reach go first, then the most advanced.
+        """
         candidates = [
             endpoint
             for endpoint in self._list_endpoints(database).values()
             if endpoint.id != assigned.endpoint and not endpoint.leaving
         ]
         endpoints = [endpoint.id for endpoint in candidates]
-        reaches = self._collect_reaches(clocks.read_clock())
-        reports, _ = self._collect_reports(endpoints, reaches)
+        failure_reports = self._collect_failure_reports(clocks.read_clock())
+        reports, _ = self._group_reports(endpoints, failure_reports)
         found = await asyncio.gather(
             *(self._ask_status(endpoint) for endpoint in candidates)
         )
@@ -315,12 +327,12 @@
         _, position, _, target = max(ranked, key=lambda row: row[:3])
         if planned:
             seen = self.gateway.board.get_positions(database).get_last_position()
-            if seen is not None and seen.number - position.number > CATCH_UP_START:
+            if seen is not None and seen.number - position.number > CATCH_UP_ENTRIES:
                 return None
         return target
 
     async def _wait_for_release(self, database: str, version: int, planned: bool):
-        """Return when no node uses the assignment any more."""
+        """Ask all grant holders for a release; return when none is left."""
         finish = FINISH_PLANNED_SECONDS if planned else FINISH_UNPLANNED_SECONDS
         message = exchange.Release(
             database=database,
@@ -335,35 +347,37 @@
         started = clocks.read_clock()
         while True:
             now = clocks.read_clock()
-            holders = self.coordinator.ledger.find_holders(database, version, now)
-            if not holders and own.done():
+            grant_holders = self.coordinator.grant_table.find_grant_holders(
+                database, version, now
+            )
+            if not grant_holders and own.done():
                 return
             if now >= send_at:
-                send_at = now + REPEAT_SECONDS
-                for host in holders:
-                    state = self.coordinator.ledger.members[host]
-                    if now - started > timing.STUCK_SECONDS:
+                send_at = now + RELEASE_REPEAT_SECONDS
+                for host in grant_holders:
+                    state = self.coordinator.grant_table.members[host]
+                    if now - started > timing.RECONNECT_SECONDS:
                         self.local_member.reset(state.address)
                     self.coordinator.send(host, state.address, message)
             await asyncio.sleep(member.RELEASE_CHECK_SECONDS)
 
     async def _catch_up(self, database: str, assigned, target):
-        """Wait until a replica holds all that the old primary acknowledged."""
+        """Wait a bounded time until a replica has the old primary's last entry."""
         deadline = clocks.read_clock() + CATCH_UP_SECONDS
         old = self._list_endpoints(database).get(assigned.endpoint)
         last = await self._ask_status(old) if old is not None else None
-        goal = last.position if last is not None else None
-        while goal is not None and clocks.read_clock() < deadline:
+        target_position = last.position if last is not None else None
+        while target_position is not None and clocks.read_clock() < deadline:
             status = await self._ask_status(target)
-            if status is not None and status.position >= goal:
+            if status is not None and status.position >= target_position:
                 break
             await asyncio.sleep(member.RELEASE_CHECK_SECONDS)
         return target
 
     async def _promote(self, database: str, entry) -> bool:
-        """Call until the promotion takes effect, then grant the new primary."""
+        """Promote a primary and grant it; return whether it took effect in time."""
         started = clocks.read_clock()
-        deadline = started + EFFECT_SECONDS
+        deadline = started + PROMOTION_TIMEOUT_SECONDS
         accepted = False
         while clocks.read_clock() < deadline:
             if not self.coordinator.may_change(clocks.read_clock()):
@@ -373,7 +387,7 @@
                     database,
                     entry.endpoint,
                     self.coordinator.record.epoch,
-                    PROMOTE_SECONDS,
+                    PROMOTE_TIMEOUT_SECONDS,
                 )
                 accepted = answer.is_ok()
                 if not accepted:
@@ -401,16 +415,16 @@
             ):
                 await self._complete(database, entry, status, started)
                 return True
-            await asyncio.sleep(EFFECT_CHECK_SECONDS)
-        # Another target gets a new version, so that the two are never confused.
+            await asyncio.sleep(PROMOTION_CHECK_SECONDS)
+        # Another target gets a new version, so that the two can't be confused.
         return False
 
     async def _complete(self, database: str, entry, status, started: float) -> None:
-        done = attrs.evolve(entry, term=status.term, promoting=False)
+        final = attrs.evolve(entry, term=status.term, promoting=False)
         self.local_member.assignments = self.local_member.assignments.replace(
-            database, done
+            database, final
         )
-        self.coordinator.closed.discard(database)
+        self.coordinator.revoked.discard(database)
         self.coordinator.renew_own_grants()
         self.coordinator.announce()
         logs.write(
@@ -423,21 +437,21 @@
                 "seconds": round(clocks.read_clock() - started, 3),
             },
         )
-        self.coordinator.run_in_background(self._settle(database, done))
+        self.coordinator.run_in_background(self._complete_demotions(database, final))
 
-    async def _settle(self, database: str, done) -> None:
-        """Record the end of a change and make old primaries follow."""
+    async def _complete_demotions(self, database: str, final) -> None:
+        """Record the end of a change, then demote endpoints that still lead."""
         await self.recorder.save()
         for _ in range(DEMOTE_ATTEMPTS):
             others = [
                 endpoint
                 for endpoint in self._list_endpoints(database).values()
-                if endpoint.id != done.endpoint and endpoint.leads
+                if endpoint.id != final.endpoint and endpoint.leads
             ]
             if not others:
                 return
             for endpoint in others:
-                await self._demote(endpoint, done.term)
+                await self._demote(endpoint, final.term)
             await asyncio.sleep(1.0)
 
     async def _demote(self, endpoint, term: int) -> None:
@@ -458,12 +472,12 @@
         )
 
     async def _record(self, database: str, entry) -> bool:
-        """Write an assignment to the store, then use it."""
-        if self.coordinator.closed.isdisjoint({database}) and entry.promoting:
-            raise exceptions.InvariantError("a promotion starts without a release")
+        """Write an assignment and put it in force; a promotion needs a revocation."""
+        if self.coordinator.revoked.isdisjoint({database}) and entry.promoting:
+            raise exceptions.InvariantError("promotion without a prior release")
         return await self.recorder.record(database, entry)
 
-    async def _ask_status(self, endpoint) -> Status | None:
+    async def _ask_status(self, endpoint) -> ReplicationStatus | None:
         codec = self.gateway.endpoint_codec
         try:
             reply = await probes.send_unqueued(
@@ -476,7 +490,7 @@
             self._log_no_status(endpoint, reply.error.value if reply.error else "empty")
             return None
         role, term, position = codec.parse_status(reply.rows[0])
-        return Status(role=role, term=term, position=position)
+        return ReplicationStatus(role=role, term=term, position=position)
 
     def _log_no_status(self, endpoint, reason: str) -> None:
         logs.write_request(
--- a/hyssopshelf/authority/coordinator.py
+++ b/hyssopshelf/authority/coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator: grants assignments to members and feeds them documents."""
+"""The coordinator: grants the use of primaries to members and sends them documents."""
 
 import asyncio
 import zlib
@@ -7,24 +7,34 @@
 import msgpack
 
 from hyssopshelf import clocks, logs
-from hyssopshelf.authority import assignments, exchange, ledger, member, shares, timing
+from hyssopshelf.authority import (
+    allocation,
+    assignments,
+    exchange,
+    grants,
+    member,
+    timing,
+)
 
-SUCCESSORS = 3
-"""Members that are named to take over first."""
+SUCCESSOR_COUNT = 3
+"""Number of members that are named to take over first."""
 
-OBSERVATION_SECONDS = 3.0
-"""Age above which an observation of a primary's log is forgotten."""
+OBSERVATION_RETENTION_SECONDS = 3.0
+"""Age above which an observation of a primary's log is no longer passed on."""
 
 
 class Coordinator:
-    """Answers pings while this node coordinates.
+    """Answers the members' pings while this node coordinates.
+
+    Grants need authority: the store or a majority of the members confirmed this node
+    recently. Changes of assignments need a recent confirmation by the store.
 
     Parameters
     ----------
     identity : MemberRecord
         This node.
     local_member : Member
-        The member part of this node; it holds assignments and documents.
+        This node's member; it holds assignments and documents.
     record : CoordinatorRecord
         The record in the store that makes this node the coordinator.
     revision : int
@@ -33,13 +43,13 @@
         Client of the store.
     send : callable
         Takes host, address and message.
-    caretaker : bool
-        Whether the node was chosen by a majority while the store was away; it
-        grants the last assignments and changes none.
+    interim : bool
+        Whether a majority chose this node while the store was unreachable; it
+        grants the last known assignments and changes none.
     """
 
     def __init__(
-        self, *, identity, local_member, record, revision, store, send, caretaker=False
+        self, *, identity, local_member, record, revision, store, send, interim=False
     ) -> None:
         self.identity = identity
         self.local_member = local_member
@@ -47,9 +57,9 @@
         self.revision = revision
         self.store = store
         self.send = send
-        self.ledger = ledger.Ledger()
-        self.caretaker = caretaker
-        self.closed: set[str] = set()
+        self.grant_table = grants.GrantTable()
+        self.interim = interim
+        self.revoked: set[str] = set()
         self.active = True
         self.resigning = False
         self.store_contact_at = clocks.read_clock()
@@ -59,52 +69,59 @@
         self.holders_version = 0
         self.members_changed = False
         self._published_at = float("-inf")
-        self._packed: dict[str, tuple[int, bytes]] = {}
+        self._compressed: dict[str, tuple[int, bytes]] = {}
         self._observations: dict[str, tuple[int, float, int, int]] = {}
         self._registering: set[str] = set()
         self._tasks: set[asyncio.Task] = set()
         self._had_authority = True
 
     def has_authority(self, now: float) -> bool:
-        """Return whether this node may grant and decide."""
-        return self.active and self.ledger.has_authority(now)
+        """Return whether this node may grant the use of primaries."""
+        return self.active and self.grant_table.has_authority(now)
 
     def may_change(self, now: float) -> bool:
-        """Return whether the store confirmed this node a short time ago."""
+        """Return whether the store confirmed this node recently enough for a change.
+
+        Half of the authority's validity is left for the change itself.
+        """
         return (
             self.active
-            and not self.caretaker
-            and now < self.ledger.confirmed_at + timing.AUTHORITY_SECONDS / 2
+            and not self.interim
+            and now < self.grant_table.confirmed_at + timing.AUTHORITY_SECONDS / 2
         )
 
     def receive_ping(self, ping: exchange.Ping, host: str, address: str) -> None:
-        """Answer a member's ping."""
+        """Record a member's ping and answer it, with a grant if this node may.
+
+        A host that is not registered yet gets an answer without a grant, and is
+        registered.
+        """
         now = clocks.read_clock()
-        known = self.ledger.members.get(host)
+        known = self.grant_table.members.get(host)
         if known is None:
             self._register(ping, host, address)
             self._answer(ping, host, address, now, grant=False)
             return
         if known.incarnation != ping.incarnation:
-            # A process that has started again.
+            # The member's process was restarted.
             self.add_member(make_record(ping, host, address))
-            known = self.ledger.members[host]
+            known = self.grant_table.members[host]
         known.address = address
-        if ping.stamp and ping.held > timing.STUCK_SECONDS:
-            # The member has not had an answer for a while.
+        if ping.stamp and ping.held > timing.RECONNECT_SECONDS:
+            # The member has not received recent answers: the connection may be stuck.
             self.local_member.reset(address)
         follows = ping.epoch == self.record.epoch
-        self.ledger.record_ping(known, ping, follows, now)
-        if ping.shares_version == shares.find_version(self.shares.get(host)):
+        self.grant_table.record_ping(known, ping, follows, now)
+        if ping.shares_version == allocation.hash_shares(self.shares.get(host)):
             known.sent_shares = self.shares.get(host)
-        self._observe(ping, now)
+        self._record_observations(ping, now)
         grant = follows and self.has_authority(now)
         if grant:
-            self.ledger.record_grant(known, now)
+            self.grant_table.record_grant(known, now)
         self._answer(ping, host, address, now, grant=grant)
 
     def renew_own_grants(self) -> None:
-        """Use the assignments at this node while it has authority."""
+        """Renew the grants of this node's own member while it has authority."""
         now = clocks.read_clock()
         authority = self.has_authority(now)
         if authority != self._had_authority:
@@ -118,28 +135,28 @@
                 event,
                 {
                     "epoch": self.record.epoch,
-                    "confirmed_age": round(now - self.ledger.confirmed_at, 3),
-                    "members": len(self.ledger.members),
+                    "confirmed_age": round(now - self.grant_table.confirmed_at, 3),
+                    "members": len(self.grant_table.members),
                 },
             )
         if not authority:
             return
-        until = self.ledger.find_authority_end()
+        until = self.grant_table.find_authority_end()
         self.local_member.answered_at = now
-        self.local_member.apply_grants(until, tuple(self.closed))
+        self.local_member.apply_grants(until, tuple(self.revoked))
         found = self._collect_observations(now)
         member.merge_observations(self.local_member.gateway.board, found, now)
 
     def announce(self) -> None:
-        """Make all members ping now."""
+        """Ask all members to ping now."""
         message = exchange.Announce(
             epoch=self.record.epoch, incarnation=self.identity.incarnation
         )
-        for state in self.ledger.members.values():
+        for state in self.grant_table.members.values():
             self.send(state.host, state.address, message)
 
     def stop(self, reason: str) -> None:
-        """Stop coordinating."""
+        """Stop coordinating and cancel the coordinator's tasks."""
         if not self.active:
             return
         self.active = False
@@ -151,20 +168,23 @@
         )
 
     def find_successors(self, now: float) -> tuple[str, ...]:
-        """Return the members that should take over first, other places first."""
+        """Return the hosts that should take over first, in this order.
+
+        Small hosts and those in this node's place come last.
+        """
         alive = [
             state
-            for state in self.ledger.members.values()
+            for state in self.grant_table.members.values()
             if now - state.heard_at < timing.SILENCE_SECONDS and not state.draining
         ]
         alive.sort(
             key=lambda state: (
-                state.capacity <= shares.SMALL_CAPACITY,
+                state.capacity <= allocation.SMALL_CAPACITY,
                 state.place == self.identity.place,
                 state.host,
             )
         )
-        return tuple(state.host for state in alive[:SUCCESSORS])
+        return tuple(state.host for state in alive[:SUCCESSOR_COUNT])
 
     def run_in_background(self, work) -> None:
         """Run a coroutine until this node stops coordinating."""
@@ -182,7 +202,7 @@
             resigning=self.resigning,
             stamp=now,
             store_age=max(0.0, now - self.store_contact_at),
-            released=tuple(self.closed),
+            released=tuple(self.revoked),
             assignments=(
                 assignments.encode(newer)
                 if ping.assignments_version < newer.version
@@ -217,7 +237,8 @@
     def _pick_configuration(self, ping: exchange.Ping) -> bytes | None:
         """Return the configuration for a member that has an older one.
 
-        A large one would keep the answers to pings waiting on a narrow link.
+        A large one is left out unless the member asks for it; on a narrow link it
+        would delay the answers to other pings.
         """
         document_cache = self.local_member.document_cache
         if ping.configuration_version >= document_cache.configuration_version:
@@ -232,7 +253,10 @@
         return data if len(data) <= timing.SMALL_DOCUMENT_BYTES else None
 
     def publish_configuration(self) -> None:
-        """Send a large configuration to one member of each place, and announce."""
+        """Announce a new configuration; send a large one to a member of each place.
+
+        That member, the largest host of its place, relays it there.
+        """
         document_cache = self.local_member.document_cache
         data = self._compress(
             "configuration",
@@ -241,8 +265,8 @@
         )
         if data is not None and len(data) > timing.SMALL_DOCUMENT_BYTES:
             now = clocks.read_clock()
-            relays: dict[str, ledger.MemberState] = {}
-            for state in self.ledger.members.values():
+            relays: dict[str, grants.MemberState] = {}
+            for state in self.grant_table.members.values():
                 if now - state.heard_at > timing.SILENCE_SECONDS:
                     continue
                 best = relays.get(state.place)
@@ -261,16 +285,16 @@
     def _compress(self, name: str, version: int, data: bytes | None) -> bytes | None:
         if data is None:
             return None
-        kept = self._packed.get(name)
+        kept = self._compressed.get(name)
         if kept is None or kept[0] != version:
             kept = (version, zlib.compress(data, 1))
-            self._packed[name] = kept
+            self._compressed[name] = kept
         return kept[1]
 
-    def _observe(self, ping: exchange.Ping, now: float) -> None:
+    def _record_observations(self, ping: exchange.Ping, now: float) -> None:
         if not ping.stamp:
             return
-        # The ping was sent after ``stamp + held`` on this clock.
+        # On this node's clock the ping was sent after ``stamp + held``.
         sent_after = min(now, ping.stamp + ping.held)
         for database, (version, term, number, age) in ping.observations.items():
             at = sent_after - age
@@ -282,20 +306,23 @@
         found = member.collect_observations(self.local_member.gateway.board, now)
         for database, (version, at, term, number) in self._observations.items():
             age = round(now - at, 4)
-            if age > OBSERVATION_SECONDS:
+            if age > OBSERVATION_RETENTION_SECONDS:
                 continue
             own = found.get(database)
             if own is None or (own[0], -own[3]) < (version, -age):
                 found[database] = (version, term, number, age)
         return found
 
-    def divide_connections(self) -> None:
-        """Decide which hosts hold how many connections to each endpoint."""
+    def allocate_connections(self) -> None:
+        """Allocate each endpoint's connections to the nodes and apply the own share.
+
+        Members get theirs with the answers to their pings.
+        """
         local_member = self.local_member
         gateway = local_member.gateway
         now = clocks.read_clock()
-        nodes = [
-            shares.Node(
+        candidates = [
+            allocation.HolderCandidate(
                 host=self.identity.host,
                 address=self.identity.address,
                 place=self.identity.place,
@@ -304,8 +331,8 @@
                 demand=gateway.measure_demand(reset=False),
             )
         ]
-        nodes += [
-            shares.Node(
+        candidates += [
+            allocation.HolderCandidate(
                 host=state.host,
                 address=state.address,
                 place=state.place,
@@ -313,14 +340,14 @@
                 capacity=state.capacity,
                 demand=state.demand,
             )
-            for state in self.ledger.members.values()
+            for state in self.grant_table.members.values()
             if now - state.heard_at < timing.SILENCE_SECONDS and not state.draining
         ]
-        self.shares, chosen = shares.divide_all(
-            gateway.list_limits(), nodes, self.chosen_holders
+        self.shares, chosen = allocation.allocate_all(
+            gateway.list_limits(), candidates, self.chosen_holders
         )
         self.chosen_holders = chosen
-        addresses = {node.host: node.address for node in nodes}
+        addresses = {candidate.host: candidate.address for candidate in candidates}
         holders = {
             endpoint: [(host, addresses[host]) for host in hosts]
             for endpoint, hosts in chosen.items()
@@ -331,21 +358,21 @@
             local_member.apply_holders(holders, self.holders_version)
             logs.write(
                 logs.LogEvent.HOLDERS_CHOSEN,
-                {"endpoints": len(holders), "nodes": len(nodes)},
+                {"endpoints": len(holders), "nodes": len(candidates)},
             )
         gateway.apply_shares(self.shares[self.identity.host])
 
     def _pick_shares(self, host: str) -> dict[str, int] | None:
-        """Return a member's shares if it does not have them yet."""
+        """Return a member's shares of connections unless it was sent them already."""
         current = self.shares.get(host)
-        state = self.ledger.members.get(host)
+        state = self.grant_table.members.get(host)
         if current is None or state is None or state.sent_shares == current:
             return None
         return current
 
     def _register(self, ping: exchange.Ping, host: str, address: str) -> None:
-        """Register a member that the store does not list yet."""
-        if host in self._registering or self.caretaker:
+        """Register a host that pings and is not a member yet."""
+        if host in self._registering or self.interim:
             return
         self._registering.add(host)
         record = make_record(ping, host, address)
@@ -365,17 +392,20 @@
         self.announce()
 
     def add_member(self, record: assignments.MemberRecord) -> None:
-        """Add a registered member; a new incarnation keeps no grant."""
-        before = self.ledger.members.get(record.host)
+        """Add a registered member; a new incarnation holds no grant.
+
+        For a known incarnation only the address is updated.
+        """
+        before = self.grant_table.members.get(record.host)
         if before is not None and before.incarnation == record.incarnation:
             before.address = record.address
             return
-        self.ledger.members[record.host] = ledger.MemberState(
+        self.grant_table.members[record.host] = grants.MemberState(
             host=record.host,
             address=record.address,
             incarnation=record.incarnation,
             place=record.place,
-            capacity=record.capacity or ledger.USUAL_CAPACITY,
+            capacity=record.capacity or grants.DEFAULT_CAPACITY,
             heard_at=clocks.read_clock(),
         )
         logs.write(
@@ -384,14 +414,17 @@
         )
         self.publish_members()
 
-    async def expel_silent(self) -> None:
-        """Remove the registrations of members that do not ping any more."""
+    async def remove_silent_members(self) -> None:
+        """Remove the registrations of members that have stopped pinging.
+
+        A member whose grants may still be valid stays registered.
+        """
         now = clocks.read_clock()
         silent = [
             state
-            for state in self.ledger.members.values()
-            if now - state.heard_at > timing.EXPULSION_SECONDS
-            and now > self.ledger.find_lapse(state)
+            for state in self.grant_table.members.values()
+            if now - state.heard_at > timing.MEMBER_TIMEOUT_SECONDS
+            and now > self.grant_table.find_grant_expiry(state)
         ]
         if not silent or not self.may_change(now):
             return
@@ -402,8 +435,8 @@
         if removed.is_err():
             return
         for state in silent:
-            if self.ledger.members.get(state.host) is state:
-                del self.ledger.members[state.host]
+            if self.grant_table.members.get(state.host) is state:
+                del self.grant_table.members[state.host]
             logs.write(
                 logs.LogEvent.MEMBER_REMOVED,
                 {"member": state.host, "silent": round(now - state.heard_at, 2)},
@@ -411,9 +444,13 @@
         self.publish_members()
 
     def publish_members(self) -> None:
-        """Bring the list of members that pongs carry up to date, not too often."""
+        """Update the list of members that answers to pings carry.
+
+        Within ``MEMBER_LIST_SECONDS`` of the last update it only notes that the list
+        has changed.
+        """
         now = clocks.read_clock()
-        if now < self._published_at + timing.MEMBERS_SECONDS:
+        if now < self._published_at + timing.MEMBER_LIST_SECONDS:
             self.members_changed = True
             return
         self._published_at = now
@@ -426,7 +463,7 @@
                 place=state.place,
                 capacity=state.capacity,
             )
-            for state in sorted(self.ledger.members.values(), key=lambda s: s.host)
+            for state in sorted(self.grant_table.members.values(), key=lambda s: s.host)
         ]
         self.local_member.members = {record.host: record for record in records}
         data = msgpack.packb({"members": [attrs.asdict(record) for record in records]})
@@ -440,7 +477,7 @@
 def make_record(
     ping: exchange.Ping, host: str, address: str
 ) -> assignments.MemberRecord:
-    """Return the registration of the member that sent a ping."""
+    """Make the registration record of the member that sent a ping."""
     return assignments.MemberRecord(
         host=host,
         address=address,
--- a/hyssopshelf/authority/participant.py
+++ b/hyssopshelf/authority/participant.py
@@ -1,10 +1,11 @@
-"""A node's part in the agreement: member, perhaps coordinator, and the takeover."""
+"""A node's part in the agreement: its member, its coordinator if elected, takeovers."""
 
 import asyncio
 import random
 
 from hyssopshelf import clocks, exceptions, logs
 from hyssopshelf.authority import (
+    allocation,
     assignments,
     change,
     coordinator,
@@ -14,38 +15,44 @@
     member,
     recorder,
     renewal,
-    shares,
     timing,
 )
 
 INQUIRY_SECONDS = 0.4
-"""Time for the answers of other members. Members have no open connections to each
-other, so two are opened, each in one and a half round trips between regions."""
+"""Time for the answers of other members. Members keep no connections to each other, so
+one is opened in each direction, in one and a half round trips between regions each."""
 
 STORE_RETRY_SECONDS = 1.0
-"""Pause between attempts to reach the store without a coordinator in it."""
+"""Pause between attempts to take over through the store while it is unreachable."""
 
-MEMBER_LIST_SECONDS = 2.0
-"""Time between two reads of the registered members."""
+MEMBER_READ_SECONDS = 2.0
+"""Time between two reads of the registered members from the store."""
 
 
 class Participant:
-    """Connects the parts to the store, the peers and the clock.
+    """The process's member and, when it is elected, its coordinator.
+
+    It runs both against the store, the peers and the clock, and decides when this
+    node takes over as the coordinator.
 
     Parameters
     ----------
     identity : MemberRecord
         This node.
     gateway : Gateway
-        Receives the beliefs.
+        Receives the primary grants.
     document_cache : DocumentCache
         Newest documents.
+    apply_document : callable
+        As for `Member`.
     store_watcher : object
         Reads documents from the store; ``read_all`` and ``watch`` coroutines.
     store, promotion_client : object
-        Clients of the platform.
-    send, reset : callable
-        Take host, address and message; the address of a stuck connection.
+        Clients of the platform's store and promotion API.
+    send : callable
+        Takes host, address and message.
+    reset : callable
+        Takes the address of a peer and reopens the connection to it.
     seeds : tuple of str
         Addresses of nodes that may know the coordinator.
     capacity : float
@@ -86,7 +93,7 @@
         self.coordinator: coordinator.Coordinator | None = None
         self.own_revision = 0
         self._tasks: set[asyncio.Task] = set()
-        self.inquiry = 0
+        self.inquiry_number = 0
         self.contacts: dict[str, float] = {}
         self._taking_over = False
         self._next_attempt_at = 0.0
@@ -96,21 +103,24 @@
         dispatch.apply(message, self, host, address)
 
     def stop(self) -> None:
-        """End all work at once."""
+        """Stop coordinating and cancel all tasks at once."""
         if self.coordinator is not None:
             self.coordinator.stop("process ends")
         for task in self._tasks:
             task.cancel()
 
     def measure_silence(self, now: float) -> float:
-        """Return the time since a coordinator with authority was heard."""
+        """Return the seconds since a coordinator with authority was last heard."""
         local_coordinator = self.coordinator
         if local_coordinator is not None and local_coordinator.has_authority(now):
             return 0.0
         return now - self.member.answered_at
 
     async def run(self) -> None:
-        """Register, then ping and take over where needed, for ever."""
+        """Register this node, ping the coordinator, and take over where needed.
+
+        Runs until it is cancelled.
+        """
         self.spawn(self._register())
         ping_at = 0.0
         while True:
@@ -141,11 +151,11 @@
             or now < self._next_attempt_at
         ):
             return
-        reason = election.find_reason(self.member, now)
+        reason = election.find_takeover_reason(self.member, now)
         if reason:
             self._taking_over = True
             pause = timing.PING_SECONDS
-            if reason == election.CUT_OFF:
+            if reason == election.STORE_UNREACHABLE:
                 pause = STORE_RETRY_SECONDS
             self._next_attempt_at = now + pause
             self.spawn(self._try_take_over(reason))
@@ -155,23 +165,23 @@
             delay = election.find_delay(self.member, reason)
             if delay:
                 await asyncio.sleep(delay)
-            if self._should_go_on(reason):
+            if self._is_still_needed(reason):
                 await self._take_over(reason)
         except exceptions.CodecError as error:
             logs.write(logs.LogEvent.DOCUMENT_UNREADABLE, {"reason": str(error)})
         finally:
             self._taking_over = False
 
-    def _should_go_on(self, reason: str) -> bool:
-        """Return whether an attempt to take over still has its reason."""
-        if reason == election.STORE_LOST:
+    def _is_still_needed(self, reason: str) -> bool:
+        """Return whether the reason of an attempt to take over still holds."""
+        if reason == election.SILENT_WITHOUT_STORE:
             local_coordinator = self.coordinator
             return (
                 local_coordinator is not None
                 and local_coordinator.active
-                and local_coordinator.caretaker
+                and local_coordinator.interim
             )
-        return election.find_reason(self.member, clocks.read_clock()) == reason
+        return election.find_takeover_reason(self.member, clocks.read_clock()) == reason
 
     async def _register(self) -> None:
         """Write this node's registration to the store."""
@@ -192,9 +202,9 @@
             if (
                 reason == election.SILENT
                 and await self._others_agree(strict=True)
-                and self._should_go_on(reason)
+                and self._is_still_needed(reason)
             ):
-                self._become_caretaker()
+                self._become_interim_coordinator()
             return
         entry = found.ok_value
         current = None
@@ -205,12 +215,12 @@
             if unknown and current.host != self.identity.host:
                 self.member.ping()
                 return
-        own_restart = current is not None and current.host == self.identity.host
-        must_ask = current is not None and not own_restart
+        restarted = current is not None and current.host == self.identity.host
+        must_ask = current is not None and not restarted
         if must_ask and reason == election.SILENT and not await self._others_agree():
             return
         lease = await self.store.grant_lease(timing.LEASE_SECONDS)
-        if lease.is_err() or not self._should_go_on(reason):
+        if lease.is_err() or not self._is_still_needed(reason):
             return
         record = assignments.CoordinatorRecord(
             host=self.identity.host,
@@ -220,7 +230,7 @@
             lease=lease.ok_value,
         )
         expected = {assignments.COORDINATOR_KEY: entry.revision if entry else 0}
-        if current is not None and not own_restart:
+        if current is not None and not restarted:
             expected[
                 assignments.MEMBER_PREFIX + self.identity.host
             ] = await self._find_own_revision()
@@ -229,19 +239,22 @@
         )
         if written.is_err():
             return
-        if own_restart:
-            # The process that held the lease has ended.
+        if restarted:
+            # The process that held the lease has ended, so nothing waits for its end.
             self.spawn(self._end_lease(current))
         else:
             await self._end_lease(current)
         await self._start(record, written.ok_value, current, reason)
 
     async def _find_record(self):
-        """Read who coordinates; a small host gives others time to be the first."""
+        """Read the coordinator's record from the store.
+
+        If there is none, a small host first gives larger ones time to take over.
+        """
         found = await self.store.get(assignments.COORDINATOR_KEY)
-        small = self.member.capacity <= shares.SMALL_CAPACITY
+        small = self.member.capacity <= allocation.SMALL_CAPACITY
         if small and found.is_ok() and found.ok_value is None:
-            await asyncio.sleep(timing.SMALL_HOST_SECONDS)
+            await asyncio.sleep(timing.SMALL_HOST_DELAY_SECONDS)
             found = await self.store.get(assignments.COORDINATOR_KEY)
         return found
 
@@ -255,7 +268,10 @@
         return self.own_revision
 
     async def _end_lease(self, current) -> None:
-        """End the authority of the earlier coordinator."""
+        """End the earlier coordinator's lease, and so its authority.
+
+        Repeats the call until the store answers.
+        """
         if current is None or not current.lease:
             return
         while True:
@@ -274,31 +290,33 @@
             store=self.store,
             send=self.send,
         )
-        local_coordinator.ledger.confirmed_at = now
+        local_coordinator.grant_table.confirmed_at = now
         if current is not None:
-            local_coordinator.ledger.predecessor_ended_at = now
-        self._lead(local_coordinator, reason)
+            local_coordinator.grant_table.predecessor_ended_at = now
+        self._start_coordinating(local_coordinator, reason)
         local_coordinator.run_in_background(renewal.renew(local_coordinator))
         local_coordinator.run_in_background(self._coordinate(local_coordinator))
 
-    def _lead(self, local_coordinator: coordinator.Coordinator, reason: str) -> None:
+    def _start_coordinating(
+        self, local_coordinator: coordinator.Coordinator, reason: str
+    ) -> None:
         before = self.member.coordinator_record
         if self.coordinator is not None:
-            self.coordinator.stop("continues with the store")
+            self.coordinator.stop("the store is reachable again")
         logs.write(
             logs.LogEvent.COORDINATION_STARTED,
             {
                 "epoch": local_coordinator.record.epoch,
                 "reason": reason,
                 "before": before.host if before is not None else "",
-                "caretaker": local_coordinator.caretaker,
+                "caretaker": local_coordinator.interim,
             },
         )
         self.member.follow(local_coordinator.record)
         self.coordinator = local_coordinator
 
     async def _coordinate(self, local_coordinator) -> None:
-        """Load the state that earlier coordinators left, then serve it."""
+        """Load the state of earlier coordinators, then start to serve members."""
         while (revision := await self._load(local_coordinator)) is None:
             await asyncio.sleep(timing.PING_SECONDS)
         local_coordinator.publish_members()
@@ -314,27 +332,32 @@
         await self._serve(local_coordinator)
 
     async def _serve(self, local_coordinator) -> None:
-        # The first answers name the holders, so that nobody connects without need.
-        local_coordinator.divide_connections()
+        # Allocate first: members that know a primary but no holders would all
+        # connect to it.
+        local_coordinator.allocate_connections()
         local_coordinator.announce()
         local_coordinator.renew_own_grants()
         listed_at = clocks.read_clock()
         while local_coordinator.active:
             await asyncio.sleep(timing.PING_SECONDS / 2)
-            local_coordinator.ledger.update_majority(clocks.read_clock())
+            local_coordinator.grant_table.update_majority(clocks.read_clock())
             local_coordinator.renew_own_grants()
-            local_coordinator.divide_connections()
+            local_coordinator.allocate_connections()
             if local_coordinator.members_changed:
                 local_coordinator.publish_members()
-            if local_coordinator.caretaker:
+            if local_coordinator.interim:
                 continue
-            if clocks.read_clock() - listed_at > MEMBER_LIST_SECONDS:
+            if clocks.read_clock() - listed_at > MEMBER_READ_SECONDS:
                 listed_at = clocks.read_clock()
                 await self._list_members(local_coordinator)
-                await local_coordinator.expel_silent()
+                await local_coordinator.remove_silent_members()
 
     async def _load(self, local_coordinator) -> int | None:
-        """Load assignments and members; return the revision of the assignments."""
+        """Load assignments and members; return the revision of the assignments.
+
+        The revision is 0 if there are no assignments yet; None means that the store
+        did not answer.
+        """
         found, listed = await asyncio.gather(
             self.store.get(assignments.ASSIGNMENTS_KEY),
             self._list_members(local_coordinator),
@@ -358,8 +381,8 @@
                 local_coordinator.add_member(record)
         return True
 
-    def _become_caretaker(self) -> None:
-        """Grant the last assignments while nobody reaches the store."""
+    def _become_interim_coordinator(self) -> None:
+        """Coordinate without the store, and grant the last known assignments."""
         local_member = self.member
         record = assignments.CoordinatorRecord(
             host=self.identity.host,
@@ -375,31 +398,34 @@
             revision=0,
             store=self.store,
             send=self.send,
-            caretaker=True,
+            interim=True,
         )
         local_coordinator.store_contact_at = (
             local_member.store_age_at - local_member.store_age
         )
-        local_coordinator.ledger.confirmed_at = local_coordinator.store_contact_at
+        local_coordinator.grant_table.confirmed_at = local_coordinator.store_contact_at
         for host, known in local_member.members.items():
             if host != self.identity.host:
                 local_coordinator.add_member(known)
-        self._lead(local_coordinator, election.STORE_LOST)
+        self._start_coordinating(local_coordinator, election.SILENT_WITHOUT_STORE)
         local_coordinator.run_in_background(self._wait_for_store())
         local_coordinator.run_in_background(self._serve(local_coordinator))
 
     async def _wait_for_store(self) -> None:
-        """Become a regular coordinator as soon as the store answers."""
+        """Try to become a regular coordinator until the store answers."""
         while True:
             await asyncio.sleep(STORE_RETRY_SECONDS)
             if not self._taking_over:
                 self._taking_over = True
-                self.spawn(self._try_take_over(election.STORE_LOST))
+                self.spawn(self._try_take_over(election.SILENT_WITHOUT_STORE))
 
     async def _others_agree(self, strict: bool = False) -> bool:
-        """Ask the other members whether they miss the coordinator, too.
+        """Ask the other members whether they do not hear the coordinator either.
 
-        ``strict`` asks for answers of a majority.
+        Parameters
+        ----------
+        strict : bool
+            Whether a majority must agree, as without the store.
         """
         others = {
             host: record
@@ -414,13 +440,13 @@
                 assignments.decode_member(e.value) for e in page.ok_value.entries
             ]
             others = {r.host: r for r in records if r.host != self.identity.host}
-        self.inquiry += 1
+        self.inquiry_number += 1
         self.contacts = {}
-        message = exchange.Inquire(number=self.inquiry, epoch=self.member.epoch)
+        message = exchange.Inquire(number=self.inquiry_number, epoch=self.member.epoch)
         for record in others.values():
             self.send(record.host, record.address, message)
         deadline = clocks.read_clock() + INQUIRY_SECONDS
-        # The silent coordinator itself does not answer.
+        # The silent coordinator is one of them and does not answer.
         expected = len(others) - 1
         while len(self.contacts) < expected and clocks.read_clock() < deadline:
             await asyncio.sleep(member.RELEASE_CHECK_SECONDS)
@@ -440,7 +466,7 @@
         return agreed
 
     async def release(self, message: exchange.Release, host: str, address: str):
-        """Stop using a primary, then tell the coordinator."""
+        """Stop using a primary, then confirm it to the coordinator."""
         await self.member.release(
             message.database, message.version, message.finish_seconds
         )
@@ -453,7 +479,7 @@
         )
 
     def spawn(self, work) -> None:
-        """Run a coroutine on its own."""
+        """Run a coroutine as a task that `stop` cancels."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
