--- a/benchmarks/bench_control.py
+++ b/benchmarks/bench_control.py
@@ -169,7 +169,7 @@
     fleet.serve_statements()
     fleet.run(2.0)
     figures = measure_window(fleet, WINDOW_SECONDS, sockets)
-    figures["served"] = len(fleet.board.placement_state.served)
+    figures["served"] = len(fleet.board.placement_state.served_endpoints)
     figures["watched"] = len(fleet.board.failover.detection_state.watches)
     return figures
 
@@ -272,7 +272,7 @@
     skip_learning(fleet)
     fleet.run(2.0)
     figures["steady"] = measure_window(fleet, WINDOW_SECONDS, sockets)
-    figures["served"] = len(fleet.board.placement_state.served)
+    figures["served"] = len(fleet.board.placement_state.served_endpoints)
     figures["watched"] = len(fleet.board.failover.detection_state.watches)
     axes = {axis: run_rates(fleet, axis, sockets) for axis in RATES}
     sizes = [len(data) for _, data in fleet.packed.values()]
--- a/benchmarks/bench_membership.py
+++ b/benchmarks/bench_membership.py
@@ -241,7 +241,7 @@
     with_hosts = get_resident_megabytes()
     add_target_endpoints(board)
     unplaced = get_resident_megabytes()
-    first = measure_seconds(lambda: placement.assign(board, 0.0), 1)
+    first = measure_seconds(lambda: placement.assign_all(board, 0.0), 1)
     placed = get_resident_megabytes()
     hosts.step(board, 0.0)
     board.actions.clear()
--- a/benchmarks/bench_placement.py
+++ b/benchmarks/bench_placement.py
@@ -92,7 +92,7 @@
     return {
         endpoint: host
         for table in board.placement_state.tables.values()
-        for endpoint, host, _ in placement.spread(table)
+        for endpoint, host, _ in placement.choose_hosts(table)
     }
 
 
@@ -203,7 +203,7 @@
     for record in board.hosts.values():
         if scenario == "place_lost" and record.place == "p0":
             record.state = records.HostState.DEAD
-    placement.assign(board, 0.0)
+    placement.assign_all(board, 0.0)
 
 
 VARIANTS = {
--- a/benchmarks/control_fleet.py
+++ b/benchmarks/control_fleet.py
@@ -89,7 +89,7 @@
 def clear_caches() -> None:
     """Empty the caches of hashes, so that memory is counted from the start."""
     for cached in (
-        rendezvous.make_seed,
+        rendezvous.hash_text,
         gossip.get_bucket,
         watchers.compute_point,
     ):
@@ -275,7 +275,7 @@
         polls are as under load: at the target size each endpoint answers 200
         statements a second.
         """
-        for name in sorted(self.board.placement_state.served):
+        for name in sorted(self.board.placement_state.served_endpoints):
             pool = self.board.endpoints[name].pool
             self.board.endpoint_queues[name] = queues.EndpointQueue(
                 endpoint=name, pool=pool
--- a/hyssopshelf/blackboard.py
+++ b/hyssopshelf/blackboard.py
@@ -247,8 +247,10 @@
         factory=progress.ConfigurationState
     )
     placement: dict[str, str] = attrs.field(factory=dict)
-    balance: balancing.Balance = attrs.field(factory=balancing.Balance)
-    placement_state: placing.Placement = attrs.field(factory=placing.Placement)
+    balance: balancing.BalancingState = attrs.field(factory=balancing.BalancingState)
+    placement_state: placing.PlacementState = attrs.field(
+        factory=placing.PlacementState
+    )
     endpoint_queues: dict[str, queues.EndpointQueue] = attrs.field(factory=dict)
     connections: dict[str, records.ConnectionRecord] = attrs.field(factory=dict)
     endpoint_connections: dict[str, dict[str, records.ConnectionRecord]] = attrs.field(
--- a/hyssopshelf/membership/balancing.py
+++ b/hyssopshelf/membership/balancing.py
@@ -34,7 +34,7 @@
 
 
 @attrs.define(kw_only=True)
-class Balance:
+class BalancingState:
     """State of the moves of this host.
 
     Attributes
--- a/hyssopshelf/membership/gossip.py
+++ b/hyssopshelf/membership/gossip.py
@@ -71,7 +71,7 @@
     return (row[1], row[2], row_weight) > held
 
 
-@functools.lru_cache(maxsize=rendezvous.SEEDS_KEPT)
+@functools.lru_cache(maxsize=rendezvous.HASH_CACHE_SIZE)
 def get_bucket(name: str) -> int:
     """Return the bucket of a host."""
     return zlib.crc32(name.encode()) % BUCKETS
@@ -80,7 +80,7 @@
 def make_digest(record: records.HostRecord) -> int:
     """Return the digest of a record that is not dead."""
     number = record.incarnation * 1_000_003 + record.refutation
-    value = rendezvous.mix(rendezvous.make_seed(record.name), number)
+    value = rendezvous.mix(rendezvous.hash_text(record.name), number)
     return (value >> 16) & _DIGEST_MASK
 
 
--- a/hyssopshelf/membership/hosts.py
+++ b/hyssopshelf/membership/hosts.py
@@ -80,7 +80,7 @@
         tables.join(board)
 
 
-def doubt(board, host: str, now: float) -> None:
+def request_probe(board, host: str, now: float) -> None:
     """Probe a host out of turn because a message to it was not sent.
 
     In a small fleet several seconds may pass until a host's next turn. Out of
@@ -296,7 +296,7 @@
     if key not in state.readers:
         names = rank_hosts(board, key, READERS) or [board.identity.host]
         complete = len(names) == READERS
-        seeds = (rendezvous.make_seed(key), rendezvous.make_seed(names[-1]))
+        seeds = (rendezvous.hash_text(key), rendezvous.hash_text(names[-1]))
         state.readers[key] = protocol.Readers(
             names=frozenset(names),
             worst=rendezvous.mix(*seeds) if complete else rendezvous.MASK,
@@ -320,8 +320,8 @@
     """
     live = (records.HostState.ALIVE, records.HostState.SUSPECT)
     seeds = [
-        (rendezvous.make_seed(record.name), record.name)
+        (rendezvous.hash_text(record.name), record.name)
         for record in board.hosts.values()
         if record.state in live and not record.leaving
     ]
-    return rendezvous.rank(rendezvous.make_seed(key), seeds, count)
+    return rendezvous.rank(rendezvous.hash_text(key), seeds, count)
--- a/hyssopshelf/membership/placement.py
+++ b/hyssopshelf/membership/placement.py
@@ -75,7 +75,7 @@
 
 
 @attrs.define(kw_only=True)
-class Placement:
+class PlacementState:
     """State of placement.
 
     Attributes
@@ -96,7 +96,7 @@
     seen: dict[str, tuple[str, tuple[str, ...]]] = attrs.field(factory=dict)
     pairs: dict[tuple[str, str], tuple[str, str]] = attrs.field(factory=dict)
     homes: dict[str, tuple[str, str]] = attrs.field(factory=dict)
-    served: set[str] = attrs.field(factory=set)
+    served_endpoints: set[str] = attrs.field(factory=set)
     hosts_key: tuple = ()
     endpoints_key: tuple = ()
     reviewed_at: float = float("-inf")
@@ -104,12 +104,12 @@
 
 def compute_weight(key: str, host: str) -> int:
     """Return the score of a host for a key; all nodes compute the same."""
-    return rendezvous.mix(rendezvous.make_seed(key), rendezvous.make_seed(host))
+    return rendezvous.mix(rendezvous.hash_text(key), rendezvous.hash_text(host))
 
 
 def make_id(endpoint: str) -> str:
     """Return the short id under which hosts announce a moved endpoint."""
-    return f"{rendezvous.make_seed(endpoint) >> 32:08x}"
+    return f"{rendezvous.hash_text(endpoint) >> 32:08x}"
 
 
 def step(board, now: float) -> None:
@@ -122,7 +122,7 @@
     _advance(board, SCORES_PER_TICK)
 
 
-def assign(board, now: float) -> None:
+def assign_all(board, now: float) -> None:
     """Place all endpoints at once, whatever it costs."""
     _refresh(board, now)
     _advance(board, None)
@@ -231,7 +231,7 @@
     return (record.place, record.moved) if records.is_usable(record, now) else NOWHERE
 
 
-def _note_host(state: Placement, name: str, old_place: str, new: tuple) -> None:
+def _note_host(state: PlacementState, name: str, old_place: str, new: tuple) -> None:
     place, moved = new
     if place:
         state.seen[name] = new
@@ -250,7 +250,7 @@
     for name in gone:
         table.hosts.pop(name, None)
     for name in come:
-        table.hosts[name] = rendezvous.make_seed(name)
+        table.hosts[name] = rendezvous.hash_text(name)
     if len(come) > CHOICES:
         table.unranked.update(dict.fromkeys(table.choices))
         come = set()
@@ -273,7 +273,7 @@
     A host that scores worse is added only if the choices were all hosts of the
     place; otherwise hosts that are not kept may lie between.
     """
-    key, hosts = rendezvous.make_seed(endpoint), table.hosts
+    key, hosts = rendezvous.hash_text(endpoint), table.hosts
     last = rendezvous.mix(key, hosts[choices[-1]])
     complete = len(choices) + len(come) == len(hosts)
     better = [n for n in come if complete or rendezvous.mix(key, hosts[n]) < last]
@@ -290,7 +290,7 @@
     for name in [name for name in state.homes if name not in board.endpoints]:
         _remove(state, name)
         board.placement.pop(name, None)
-        state.served.discard(name)
+        state.served_endpoints.discard(name)
     for name, record in board.endpoints.items():
         home = state.homes.get(name)
         if home is not None and home[0] == record.place and not everything:
@@ -311,12 +311,12 @@
         table.unranked[name] = None
 
 
-def _get_choices(state: Placement, place: str) -> dict:
+def _get_choices(state: PlacementState, place: str) -> dict:
     table = state.tables.get(place)
     return table.choices if table is not None else {}
 
 
-def _remove(state: Placement, endpoint: str) -> None:
+def _remove(state: PlacementState, endpoint: str) -> None:
     _, place = state.homes.pop(endpoint, ("", ""))
     table = state.tables.get(place)
     if table is not None and table.choices.pop(endpoint, None) is not None:
@@ -335,14 +335,14 @@
     if place in tables or not tables:
         return place if tables else ""
     near = [name for name in tables if regions[name] == regions.get(place)]
-    key = rendezvous.make_seed(endpoint)
-    seeds = [(rendezvous.make_seed(name), name) for name in near or tables]
+    key = rendezvous.hash_text(endpoint)
+    seeds = [(rendezvous.hash_text(name), name) for name in near or tables]
     return rendezvous.rank(key, seeds, 1)[0]
 
 
 def _rank(table: PlaceTable, endpoint: str) -> tuple[str, ...]:
     seeds = [(seed, name) for name, seed in table.hosts.items()]
-    key = rendezvous.make_seed(endpoint)
+    key = rendezvous.hash_text(endpoint)
     choices = tuple(rendezvous.rank(key, seeds, CHOICES))
     table.choices[endpoint] = choices
     table.unranked.pop(endpoint, None)
@@ -363,15 +363,15 @@
             budget = None if budget is None else budget - len(table.hosts)
         if not table.unranked:
             table.dirty = False
-            _assign(board, place, table)
+            _assign_place(board, place, table)
 
 
-def _assign(board, place: str, table: PlaceTable) -> None:
+def _assign_place(board, place: str, table: PlaceTable) -> None:
     """Place the endpoints of a table and log what changed."""
     if table.ordered is None:
-        table.ordered = sorted(table.choices, key=rendezvous.make_seed)
+        table.ordered = sorted(table.choices, key=rendezvous.hash_text)
     changed = 0
-    for endpoint, host, reason in spread(table):
+    for endpoint, host, reason in choose_hosts(table):
         old = board.placement.get(endpoint)
         if old == host:
             continue
@@ -398,9 +398,9 @@
 def _put(board, endpoint: str, host: str) -> None:
     board.placement[endpoint] = host
     if host == board.identity.host:
-        board.placement_state.served.add(endpoint)
+        board.placement_state.served_endpoints.add(endpoint)
     else:
-        board.placement_state.served.discard(endpoint)
+        board.placement_state.served_endpoints.discard(endpoint)
 
 
 def compute_bound(endpoints: int, hosts: int) -> int:
@@ -408,7 +408,7 @@
     return max(1, math.ceil(LOAD_FACTOR * endpoints / hosts))
 
 
-def spread(table: PlaceTable):
+def choose_hosts(table: PlaceTable):
     """Yield each endpoint of a table with its host and the reason.
 
     The endpoints choose in the order of their seeds. If all kept choices of an
--- a/hyssopshelf/membership/rendezvous.py
+++ b/hyssopshelf/membership/rendezvous.py
@@ -17,12 +17,12 @@
 _FIRST = 0xBF58476D1CE4E5B9
 _SECOND = 0x94D049BB133111EB
 
-SEEDS_KEPT = 65_536
+HASH_CACHE_SIZE = 65_536
 """Seeds in the cache; the target size has 26,400 endpoints and 5,100 hosts."""
 
 
-@functools.lru_cache(maxsize=SEEDS_KEPT)
-def make_seed(text: str) -> int:
+@functools.lru_cache(maxsize=HASH_CACHE_SIZE)
+def hash_text(text: str) -> int:
     """Return a 64-bit number that depends on a text only.
 
     Python's own hash of a text differs between processes.
--- a/hyssopshelf/membership/tests/test_hosts.py
+++ b/hyssopshelf/membership/tests/test_hosts.py
@@ -56,13 +56,13 @@
     observer = fleet.members["h0000"]
     seen = observer.board.membership.probed_at
     for _ in range(4):
-        hosts.doubt(observer.board, "h0001", fleet.now)
+        hosts.request_probe(observer.board, "h0001", fleet.now)
         fleet.run(0.3)
     assert observer.board.membership.probed_at > seen
     state = get_record(fleet, "h0000", "h0001").state
     assert state is records.HostState.SUSPECT
     # Live hosts that are doubted only answer.
-    hosts.doubt(observer.board, "h0002", fleet.now)
+    hosts.request_probe(observer.board, "h0002", fleet.now)
     fleet.run(1.0)
     assert get_record(fleet, "h0000", "h0002").state is records.HostState.ALIVE
 
--- a/hyssopshelf/membership/tests/test_placement.py
+++ b/hyssopshelf/membership/tests/test_placement.py
@@ -42,7 +42,7 @@
             add_host(board, f"{place}h{number}", place)
     for number in range(endpoints):
         add_endpoint(board, f"pool/d/e{number}", PLACES[number % 3])
-    placement.assign(board, 0.0)
+    placement.assign_all(board, 0.0)
     return board
 
 
@@ -200,9 +200,9 @@
 def test_rank_returns_the_lowest_scores():
     """Guards against a hash loop that differs from the score function."""
     names = [f"h{number}" for number in range(50)]
-    seeds = [(rendezvous.make_seed(name), name) for name in names]
+    seeds = [(rendezvous.hash_text(name), name) for name in names]
     expected = sorted(names, key=lambda name: placement.compute_weight("key", name))
-    assert rendezvous.rank(rendezvous.make_seed("key"), seeds, 6) == expected[:6]
+    assert rendezvous.rank(rendezvous.hash_text("key"), seeds, 6) == expected[:6]
 
 
 @hypothesis.settings(
@@ -263,11 +263,11 @@
         fresh.hosts, fresh.endpoints = self.board.hosts, self.board.endpoints
         # A node that joins gets the regions of places without hosts as well.
         fresh.membership.regions |= self.board.membership.regions
-        placement.assign(fresh, self.now)
+        placement.assign_all(fresh, self.now)
         if fresh.placement_state.tables:
             assert self.board.placement == fresh.placement
         own = self.board.identity.host
-        assert self.board.placement_state.served == {
+        assert self.board.placement_state.served_endpoints == {
             e for e, host in self.board.placement.items() if host == own
         }
 
--- a/hyssopshelf/membership/transitions.py
+++ b/hyssopshelf/membership/transitions.py
@@ -73,7 +73,7 @@
     state.version += 1
     state.touched.add(name)
     for key, order in list(state.readers.items()):
-        score = rendezvous.mix(rendezvous.make_seed(key), rendezvous.make_seed(name))
+        score = rendezvous.mix(rendezvous.hash_text(key), rendezvous.hash_text(name))
         if score <= order.worst:
             del state.readers[key]
 
--- a/hyssopshelf/scheduling/billing.py
+++ b/hyssopshelf/scheduling/billing.py
@@ -251,15 +251,15 @@
     """
     state = board.bills
     own, place = board.identity.host, board.identity.place
-    seeds = [(rendezvous.make_seed(own), own)]
+    seeds = [(rendezvous.hash_text(own), own)]
     near, far = [], []
     for name, row in board.hosts.items():
         if name == own or row.state not in _LIVE:
             continue
-        item = (rendezvous.make_seed(name), name)
+        item = (rendezvous.hash_text(name), name)
         seeds.append(item)
         (near if row.place == place else far).append(item)
-    key = rendezvous.make_seed(f"keepers/{own}")
+    key = rendezvous.hash_text(f"keepers/{own}")
     keepers = rendezvous.rank(key, far, KEEPERS)
     if len(keepers) < KEEPERS:
         keepers += rendezvous.rank(key, near, KEEPERS - len(keepers))
@@ -267,7 +267,7 @@
     for key in [key for key in state.copied if key[0] not in state.keepers]:
         del state.copied[key]
     state.writers = {
-        pool: rendezvous.rank(rendezvous.make_seed(pool), seeds, 1)[0]
+        pool: rendezvous.rank(rendezvous.hash_text(pool), seeds, 1)[0]
         for pool in state.pools
     }
 
--- a/hyssopshelf/statements/entry.py
+++ b/hyssopshelf/statements/entry.py
@@ -73,7 +73,7 @@
 @base.handle.register
 def handle_unsent(event: base.PeerUnsent, board, now) -> None:
     """Route a statement again whose message was certainly not sent."""
-    hosts.doubt(board, event.host, now)
+    hosts.request_probe(board, event.host, now)
     if not isinstance(event.message, messages.ForwardStatement):
         return
     board.avoided_hosts[event.host] = now + AVOID_SECONDS
--- a/hyssopshelf/statements/polling.py
+++ b/hyssopshelf/statements/polling.py
@@ -15,7 +15,7 @@
     Only the served ones are looked at: a tick over all 26,400 placements of the
     target size takes 5 to 11 ms.
     """
-    for endpoint in sorted(board.placement_state.served):
+    for endpoint in sorted(board.placement_state.served_endpoints):
         if endpoint not in board.endpoints:
             continue
         if now >= board.next_polls.get(endpoint, 0.0):
