--- a/hyssopshelf/membership/balancing.py
+++ b/hyssopshelf/membership/balancing.py
@@ -23,10 +23,10 @@
 time at 0.6 and 4.5 times it at 0.9. The mean load at the target size is 0.42.
 """
 
-GAIN = 0.9
+MAXIMUM_LOAD_RATIO = 0.9
 """A move must leave both hosts below this part of the sender's load."""
 
-RETURN_LOAD = 0.45
+RECLAIM_LOAD = 0.45
 """A host takes an endpoint back if its load with it stays below this."""
 
 REFUSAL_SECONDS = 60.0
@@ -39,11 +39,11 @@
 
     Attributes
     ----------
-    served : dict of str to int
+    statement_counts : dict of str to int
         Statements served since the last review, by endpoint.
     loads : dict of str to float
         Part of a core that each endpoint took before the last review.
-    accepted : float
+    accepted_load : float
         Load of the endpoints accepted since the last review.
     given : dict of str to float
         Endpoints that this host gave away, with their load at that time.
@@ -51,10 +51,10 @@
         Endpoints that were refused.
     """
 
-    served: dict[str, int] = attrs.field(factory=dict)
+    statement_counts: dict[str, int] = attrs.field(factory=dict)
     loads: dict[str, float] = attrs.field(factory=dict)
-    accepted: float = 0.0
-    given: dict[str, float] = attrs.field(factory=dict)
+    accepted_load: float = 0.0
+    moved_loads: dict[str, float] = attrs.field(factory=dict)
     refused_until: dict[str, float] = attrs.field(factory=dict)
     reviewed_at: float | None = None
 
@@ -81,7 +81,7 @@
 
 def count_served(board, endpoint: str) -> None:
     """Count a statement that this host runs at an endpoint."""
-    served = board.balance.served
+    served = board.balance.statement_counts
     served[endpoint] = served.get(endpoint, 0) + 1
 
 
@@ -95,14 +95,16 @@
         return
     state.reviewed_at = now
     scale = STATEMENT_SECONDS / elapsed
-    state.loads = {name: count * scale for name, count in state.served.items()}
-    state.served.clear()
-    state.accepted = 0.0
+    state.loads = {
+        name: count * scale for name, count in state.statement_counts.items()
+    }
+    state.statement_counts.clear()
+    state.accepted_load = 0.0
     for name in [n for n, until in state.refused_until.items() if until <= now]:
         del state.refused_until[name]
     load = sum(state.loads.values())
     _offer(board, load)
-    _take_back(board, load, now)
+    _reclaim(board, load, now)
 
 
 def _offer(board, load: float) -> None:
@@ -138,22 +140,22 @@
 
 def accepts(own_load: float, load: float, sender_load: float) -> bool:
     """Return whether a move lowers the greater load of the two hosts enough."""
-    return max(own_load + load, sender_load - load) <= GAIN * sender_load
+    return max(own_load + load, sender_load - load) <= MAXIMUM_LOAD_RATIO * sender_load
 
 
-def _take_back(board, load: float, now: float) -> None:
+def _reclaim(board, load: float, now: float) -> None:
     """Take back the endpoint that was given away last if there is room again."""
     state = board.balance
-    if not state.given:
+    if not state.moved_loads:
         return
-    endpoint = next(reversed(state.given))
-    if load + state.given[endpoint] < RETURN_LOAD:
-        del state.given[endpoint]
+    endpoint = next(reversed(state.moved_loads))
+    if load + state.moved_loads[endpoint] < RECLAIM_LOAD:
+        del state.moved_loads[endpoint]
         _announce(board, endpoint, now, moved=False)
 
 
 def _announce(board, endpoint: str, now: float, *, moved: bool) -> None:
-    ids = tuple(sorted(map(placement.make_id, board.balance.given)))
+    ids = tuple(sorted(map(placement.make_id, board.balance.moved_loads)))
     transitions.announce(board, now=now, moved=ids)
     board.log(logs.LogEvent.ENDPOINT_MOVED, endpoint=endpoint, moved=moved)
 
@@ -162,10 +164,10 @@
 def receive_offer(message: Offer, board, host: str, now: float) -> None:
     """Accept an endpoint if this host stays well below the sender's load."""
     state = board.balance
-    load = sum(state.loads.values()) + state.accepted
+    load = sum(state.loads.values()) + state.accepted_load
     accepted = accepts(load, message.load, message.sender_load) and not board.draining
     if accepted:
-        state.accepted += message.load
+        state.accepted_load += message.load
     answer = OfferAnswer(
         endpoint=message.endpoint, load=message.load, accepted=accepted
     )
@@ -179,5 +181,5 @@
     if not message.accepted:
         state.refused_until[message.endpoint] = now + REFUSAL_SECONDS
     elif message.endpoint in board.endpoints:
-        state.given[message.endpoint] = message.load
+        state.moved_loads[message.endpoint] = message.load
         _announce(board, message.endpoint, now, moved=True)
--- a/hyssopshelf/membership/exchange.py
+++ b/hyssopshelf/membership/exchange.py
@@ -32,7 +32,7 @@
     """
     rows = board.membership.outbox.take(board.hosts, board.identity.host)
     record = board.hosts.get(receiver)
-    if record is not None and gossip.get_code(record) >= gossip.SUSPECT:
+    if record is not None and gossip.get_state_code(record) >= gossip.SUSPECT:
         rows = [gossip.make_row(record), *rows]
     return tuple(rows)
 
@@ -49,33 +49,33 @@
     send(board, host, message)
 
 
-def forgive(board, now: float) -> None:
+def restart_timeouts(board, now: float) -> None:
     """Restart all waiting after a time in which this node heard nothing.
 
     Silence that the node caused itself says nothing about other hosts.
     """
     state = board.membership
     state.probe = None
-    state.heard_at = now
+    state.last_message_at = now
     for name in state.suspects:
         state.suspects[name] = now + transitions.SUSPICION_SECONDS
 
 
-def note_heard(board, now: float) -> None:
+def record_message(board, now: float) -> None:
     """Note that another host was heard; this ends an isolation."""
     state = board.membership
-    state.heard_at = now
+    state.last_message_at = now
     if state.isolated_at is not None:
         seconds = round(now - state.isolated_at, 3)
         state.isolated_at = None
-        forgive(board, now)
+        restart_timeouts(board, now)
         board.log(logs.LogEvent.NODE_REACHED, isolated_seconds=seconds)
 
 
 def apply_message(board, message, host: str, now: float) -> None:
     """Apply what every message carries: its sender and the rows."""
-    transitions.start(board, now)
-    note_heard(board, now)
+    transitions.initialize(board, now)
+    record_message(board, now)
     transitions.apply_row(board, message.sender, now)
     for row in getattr(message, "rows", ()):
         transitions.apply_row(board, row, now)
--- a/hyssopshelf/membership/gossip.py
+++ b/hyssopshelf/membership/gossip.py
@@ -40,7 +40,7 @@
 """
 
 
-def get_code(record: records.HostRecord) -> int:
+def get_state_code(record: records.HostRecord) -> int:
     """Return the state code of a record."""
     if record.state is records.HostState.DEAD:
         return DEAD
@@ -51,7 +51,7 @@
 
 def make_row(record: records.HostRecord) -> Row:
     """Return the row that tells what this node believes of a host."""
-    code = get_code(record)
+    code = get_state_code(record)
     known = (record.name, record.incarnation, record.refutation, code)
     if code >= SUSPECT:
         return (*known, "", "", "", ())
@@ -64,7 +64,7 @@
     Only the host itself raises its incarnation and refutation. With equal
     numbers suspicion overrides life and death overrides suspicion.
     """
-    code = get_code(record)
+    code = get_state_code(record)
     weight = code if code >= SUSPECT else ALIVE
     row_weight = row[3] if row[3] >= SUSPECT else ALIVE
     held = (record.incarnation, record.refutation, weight)
@@ -120,7 +120,7 @@
 class Outbox:
     """Hosts whose rows still have to be sent, with the times each was sent."""
 
-    _sent: dict[str, int] = attrs.field(factory=dict, init=False)
+    _send_counts: dict[str, int] = attrs.field(factory=dict, init=False)
 
     def add(self, name: str) -> None:
         """Send the row of a host anew.
@@ -128,18 +128,20 @@
         If too many wait, the one that was sent most often is dropped; digests
         repair what does not arrive.
         """
-        self._sent[name] = 0
-        if len(self._sent) > MAXIMUM_WAITING:
-            del self._sent[max(self._sent, key=self._sent.__getitem__)]
+        self._send_counts[name] = 0
+        if len(self._send_counts) > MAXIMUM_WAITING:
+            del self._send_counts[
+                max(self._send_counts, key=self._send_counts.__getitem__)
+            ]
 
     def discard(self, name: str) -> None:
         """Do not send the row of a host."""
-        self._sent.pop(name, None)
+        self._send_counts.pop(name, None)
 
-    def is_fresh(self, hosts: dict[str, records.HostRecord]) -> bool:
+    def has_fresh_rows(self, hosts: dict[str, records.HostRecord]) -> bool:
         """Return whether a row was sent less than log2 of the hosts times."""
         limit = max(1, len(hosts)).bit_length()
-        return any(sent < limit for sent in self._sent.values())
+        return any(sent < limit for sent in self._send_counts.values())
 
     def take(self, hosts: dict[str, records.HostRecord], except_for: str) -> list[Row]:
         """Return the rows for one message, those sent least often first.
@@ -147,15 +149,17 @@
         The row of the host ``except_for`` is counted and left out, because each
         message carries its sender's row anyway.
         """
-        if not self._sent:
+        if not self._send_counts:
             return []
         limit = RETRANSMISSION_FACTOR * max(1, len(hosts)).bit_length()
-        names = sorted(self._sent, key=self._sent.__getitem__)[:MAXIMUM_ROWS]
+        names = sorted(self._send_counts, key=self._send_counts.__getitem__)[
+            :MAXIMUM_ROWS
+        ]
         rows = []
         for name in names:
-            self._sent[name] += 1
-            if self._sent[name] >= limit or name not in hosts:
-                del self._sent[name]
+            self._send_counts[name] += 1
+            if self._send_counts[name] >= limit or name not in hosts:
+                del self._send_counts[name]
             if name in hosts and name != except_for:
                 rows.append(make_row(hosts[name]))
         return rows
--- a/hyssopshelf/membership/hosts.py
+++ b/hyssopshelf/membership/hosts.py
@@ -38,10 +38,10 @@
 NEWS_PERIOD_SECONDS = 0.25
 """Time between two messages that carry fresh changes and are no probes."""
 
-DOUBT_PERIOD_SECONDS = 0.25
+EARLY_PROBE_PERIOD_SECONDS = 0.25
 """Least time between two probes of which one is out of turn."""
 
-HELPERS = 3
+INDIRECT_PROBERS = 3
 """Hosts that are asked to probe a silent target."""
 
 ISOLATION_SECONDS = 2.5
@@ -61,13 +61,13 @@
 def step(board, now: float) -> None:
     """Probe, end suspicions and holds, and join if there are no peers."""
     state = board.membership
-    transitions.start(board, now)
+    transitions.initialize(board, now)
     own = board.hosts[board.identity.host]
-    if state.probe_at is None:
-        state.probe_at = now + board.random.random() * PROBE_PERIOD_SECONDS
+    if state.next_probe_at is None:
+        state.next_probe_at = now + board.random.random() * PROBE_PERIOD_SECONDS
     if board.pause_seconds > 0:
-        exchange.forgive(board, now)
-    if own.leaving != (board.draining or state.list_leaving):
+        exchange.restart_timeouts(board, now)
+    if own.leaving != (board.draining or state.listed_leaving):
         transitions.announce(board, leaving=not own.leaving, now=now)
     _check_isolation(board, now)
     _advance_probe(board, now)
@@ -75,8 +75,8 @@
     transitions.end_suspicions(board, now)
     transitions.end_holds(board, now)
     transitions.forget_dead(board, now)
-    if state.peers == 0 and now >= state.join_at:
-        state.join_at = now + JOIN_PERIOD_SECONDS
+    if state.peers == 0 and now >= state.next_join_at:
+        state.next_join_at = now + JOIN_PERIOD_SECONDS
         tables.join(board)
 
 
@@ -89,10 +89,10 @@
     state = board.membership
     if not exchange.is_peer(board, host) or host in state.suspects:
         return
-    if host not in state.doubted:
-        state.doubted.append(host)
-    if state.probe is None and now - state.probed_at >= DOUBT_PERIOD_SECONDS:
-        state.probe_at = now
+    if host not in state.priority_targets:
+        state.priority_targets.append(host)
+    if state.probe is None and now - state.last_probe_at >= EARLY_PROBE_PERIOD_SECONDS:
+        state.next_probe_at = now
 
 
 def _next_sequence(state: protocol.Membership) -> int:
@@ -107,7 +107,7 @@
     the peer is then judged by probes alone.
     """
     state = board.membership
-    silent = now - state.heard_at > ISOLATION_SECONDS
+    silent = now - state.last_message_at > ISOLATION_SECONDS
     if state.isolated_at is None and silent and state.peers > 1:
         state.isolated_at = now
         board.log(logs.LogEvent.NODE_ISOLATED, hosts=state.peers)
@@ -116,28 +116,28 @@
 def _advance_probe(board, now: float) -> None:
     state = board.membership
     probe = state.probe
-    if probe is not None and not probe.asked and now >= probe.ask_at:
-        probe.asked = True
-        _ask_helpers(board, probe.target, probe.sequence)
+    if probe is not None and not probe.indirect_requested and now >= probe.indirect_at:
+        probe.indirect_requested = True
+        _request_indirect_probes(board, probe.target, probe.sequence)
     if probe is not None and now >= probe.suspect_at:
         state.probe = None
         _handle_silence(board, probe.target, now)
-    if now < state.probe_at:
+    if now < state.next_probe_at:
         return
     # A fixed period keeps the rate exact; after a pause no probe is made up for.
-    state.probe_at = max(state.probe_at + PROBE_PERIOD_SECONDS, now)
+    state.next_probe_at = max(state.next_probe_at + PROBE_PERIOD_SECONDS, now)
     for relay in [key for key, value in state.relays.items() if value.expires_at < now]:
         del state.relays[relay]
-    tables.contact(board, now)
+    tables.probe_dead_hosts(board, now)
     target = _choose_target(board)
     if target is None:
         return
     sequence = _next_sequence(state)
-    state.probed_at = now
+    state.last_probe_at = now
     state.probe = protocol.Probe(
         target=target,
         sequence=sequence,
-        ask_at=now + DIRECT_TIMEOUT_SECONDS,
+        indirect_at=now + DIRECT_TIMEOUT_SECONDS,
         suspect_at=now + INDIRECT_TIMEOUT_SECONDS,
     )
     exchange.send_probe(board, target, sequence)
@@ -146,9 +146,9 @@
 def _send_news(board, now: float) -> None:
     """Send fresh changes to one random host."""
     state = board.membership
-    if now < state.news_at or not state.outbox.is_fresh(board.hosts):
+    if now < state.next_news_at or not state.outbox.has_fresh_rows(board.hosts):
         return
-    state.news_at = now + NEWS_PERIOD_SECONDS
+    state.next_news_at = now + NEWS_PERIOD_SECONDS
     name = _choose_random(board)
     if name is not None:
         rows = exchange.collect_rows(board, name)
@@ -158,8 +158,8 @@
 
 def _choose_random(board) -> str | None:
     """Return a random live host; a few draws may all hit dead ones."""
-    order = board.membership.order
-    for _ in range(HELPERS if order else 0):
+    order = board.membership.probe_order
+    for _ in range(INDIRECT_PROBERS if order else 0):
         name = board.random.choice(order)
         if exchange.is_peer(board, name):
             return name
@@ -170,7 +170,7 @@
     """Suspect a silent host and give it two ways to hear of it at once."""
     if transitions.suspect(board, target, now):
         exchange.send_probe(board, target, 0)
-        _ask_helpers(board, target, 0)
+        _request_indirect_probes(board, target, 0)
 
 
 def _choose_target(board) -> str | None:
@@ -180,28 +180,30 @@
     by each node within a bounded time.
     """
     state = board.membership
-    while state.doubted:
-        name = state.doubted.pop()
+    while state.priority_targets:
+        name = state.priority_targets.pop()
         if exchange.is_peer(board, name):
             return name
     for _ in range(2):
-        while state.order_index < len(state.order):
-            name = state.order[state.order_index]
-            state.order_index += 1
+        while state.probe_order_index < len(state.probe_order):
+            name = state.probe_order[state.probe_order_index]
+            state.probe_order_index += 1
             if exchange.is_peer(board, name):
                 return name
-        state.order = [name for name in board.hosts if exchange.is_peer(board, name)]
-        board.random.shuffle(state.order)
-        state.order_index = 0
+        state.probe_order = [
+            name for name in board.hosts if exchange.is_peer(board, name)
+        ]
+        board.random.shuffle(state.probe_order)
+        state.probe_order_index = 0
     return None
 
 
-def _ask_helpers(board, target: str, sequence: int) -> None:
+def _request_indirect_probes(board, target: str, sequence: int) -> None:
     chosen: set[str] = set()
     # A few more draws than helpers, because draws may repeat.
-    for _ in range(3 * HELPERS):
+    for _ in range(3 * INDIRECT_PROBERS):
         name = _choose_random(board)
-        if name not in (None, target) and len(chosen) < HELPERS:
+        if name not in (None, target) and len(chosen) < INDIRECT_PROBERS:
             chosen.add(name)
     for name in sorted(chosen):
         message = protocol.RelayProbe(
@@ -296,10 +298,10 @@
     if key not in state.readers:
         names = rank_hosts(board, key, READERS) or [board.identity.host]
         complete = len(names) == READERS
-        seeds = (rendezvous.hash_text(key), rendezvous.hash_text(names[-1]))
+        hashes = (rendezvous.hash_text(key), rendezvous.hash_text(names[-1]))
         state.readers[key] = protocol.Readers(
             names=frozenset(names),
-            worst=rendezvous.mix(*seeds) if complete else rendezvous.MASK,
+            highest_score=rendezvous.mix(*hashes) if complete else rendezvous.MASK,
         )
     return state.readers[key].names
 
@@ -319,9 +321,9 @@
         Number of hosts.
     """
     live = (records.HostState.ALIVE, records.HostState.SUSPECT)
-    seeds = [
+    candidates = [
         (rendezvous.hash_text(record.name), record.name)
         for record in board.hosts.values()
         if record.state in live and not record.leaving
     ]
-    return rendezvous.rank(rendezvous.hash_text(key), seeds, count)
+    return rendezvous.rank(rendezvous.hash_text(key), candidates, count)
--- a/hyssopshelf/membership/placement.py
+++ b/hyssopshelf/membership/placement.py
@@ -29,7 +29,7 @@
 CHOICES = 6
 """Hosts that are kept for each endpoint, in the order of their scores."""
 
-CHOICES_LEFT = 3
+MINIMUM_CHOICES = 3
 """With fewer choices left after hosts went, an endpoint is ranked anew."""
 
 SCORES_PER_TICK = 20_000
@@ -44,7 +44,7 @@
 a change. At the target size this takes 10 to 16 ms."""
 
 
-NOWHERE: tuple[str, tuple[str, ...]] = ("", ())
+NOT_USABLE: tuple[str, tuple[str, ...]] = ("", ())
 """Description of a host that is not usable."""
 
 
@@ -93,16 +93,16 @@
     """
 
     tables: dict[str, PlaceTable] = attrs.field(factory=dict)
-    seen: dict[str, tuple[str, tuple[str, ...]]] = attrs.field(factory=dict)
-    pairs: dict[tuple[str, str], tuple[str, str]] = attrs.field(factory=dict)
-    homes: dict[str, tuple[str, str]] = attrs.field(factory=dict)
+    known_hosts: dict[str, tuple[str, tuple[str, ...]]] = attrs.field(factory=dict)
+    shared_pairs: dict[tuple[str, str], tuple[str, str]] = attrs.field(factory=dict)
+    endpoint_places: dict[str, tuple[str, str]] = attrs.field(factory=dict)
     served_endpoints: set[str] = attrs.field(factory=set)
     hosts_key: tuple = ()
     endpoints_key: tuple = ()
     reviewed_at: float = float("-inf")
 
 
-def compute_weight(key: str, host: str) -> int:
+def compute_score(key: str, host: str) -> int:
     """Return the score of a host for a key; all nodes compute the same."""
     return rendezvous.mix(rendezvous.hash_text(key), rendezvous.hash_text(host))
 
@@ -118,14 +118,14 @@
     if now - state.reviewed_at >= REVIEW_SECONDS:
         _refresh(board, now)
     else:
-        _follow_changes(board, now)
-    _advance(board, SCORES_PER_TICK)
+        _apply_changes(board, now)
+    _rank_and_assign(board, SCORES_PER_TICK)
 
 
 def assign_all(board, now: float) -> None:
     """Place all endpoints at once, whatever it costs."""
     _refresh(board, now)
-    _advance(board, None)
+    _rank_and_assign(board, None)
 
 
 def locate(board, endpoint: str, now: float) -> str:
@@ -143,13 +143,15 @@
     if endpoint not in board.endpoints:
         return ""
     state = board.placement_state
-    if _make_hosts_key(board) != state.hosts_key or (endpoint not in state.homes):
+    if _make_hosts_key(board) != state.hosts_key or (
+        endpoint not in state.endpoint_places
+    ):
         step(board, now)
     host = board.placement.get(endpoint, "")
     if host:
         return host
     # Until the endpoints of the place are ranked, the best host serves.
-    place = state.homes.get(endpoint, ("", ""))[1]
+    place = state.endpoint_places.get(endpoint, ("", ""))[1]
     table = state.tables.get(place)
     if table is None:
         return ""
@@ -159,7 +161,7 @@
 def find_next(board, endpoint: str) -> str:
     """Return the choice of an endpoint after its present host, empty if unknown."""
     state = board.placement_state
-    table = state.tables.get(state.homes.get(endpoint, ("", ""))[1])
+    table = state.tables.get(state.endpoint_places.get(endpoint, ("", ""))[1])
     host = board.placement.get(endpoint, "")
     choices = table.choices.get(endpoint, ()) if table is not None else ()
     return _choose_next(table, endpoint, host) if host in choices else ""
@@ -176,24 +178,30 @@
 def _refresh(board, now: float) -> None:
     """Compare all hosts and endpoints with the tables."""
     board.placement_state.reviewed_at = now
-    changed = _follow_hosts(board, [*board.placement_state.seen, *board.hosts], now)
-    _follow_endpoints(board, everything=changed)
+    changed = _update_hosts(
+        board, [*board.placement_state.known_hosts, *board.hosts], now
+    )
+    _update_endpoints(board, compare_all=changed)
 
 
-def _follow_changes(board, now: float) -> None:
+def _apply_changes(board, now: float) -> None:
     """Follow the hosts that changed and, if the pools did, the endpoints."""
     state, membership = board.placement_state, board.membership
     changed = False
     if state.hosts_key != _make_hosts_key(board):
         # Hosts that came or went without a version are found by comparison.
-        unseen = len(board.hosts) != state.hosts_key[1]
-        names = [*state.seen, *board.hosts] if unseen else list(membership.touched)
-        changed = _follow_hosts(board, names, now)
+        count_changed = len(board.hosts) != state.hosts_key[1]
+        names = (
+            [*state.known_hosts, *board.hosts]
+            if count_changed
+            else list(membership.changed_hosts)
+        )
+        changed = _update_hosts(board, names, now)
     if changed or state.endpoints_key != _make_endpoints_key(board):
-        _follow_endpoints(board, everything=changed)
+        _update_endpoints(board, compare_all=changed)
 
 
-def _follow_hosts(board, names: list[str], now: float) -> bool:
+def _update_hosts(board, names: list[str], now: float) -> bool:
     """Bring the tables in line with some hosts.
 
     Returns
@@ -203,41 +211,46 @@
     """
     state = board.placement_state
     state.hosts_key = _make_hosts_key(board)
-    board.membership.touched.clear()
+    board.membership.changed_hosts.clear()
     before = frozenset(state.tables)
-    come: dict[str, set[str]] = collections.defaultdict(set)
-    gone: dict[str, set[str]] = collections.defaultdict(set)
+    added: dict[str, set[str]] = collections.defaultdict(set)
+    removed: dict[str, set[str]] = collections.defaultdict(set)
     for name in names:
-        old, new = state.seen.get(name, NOWHERE), _describe(board, name, now)
+        old, new = (
+            state.known_hosts.get(name, NOT_USABLE),
+            _describe_host(board, name, now),
+        )
         if new == old:
             continue
         if new[0] != old[0]:
-            gone[old[0]].add(name)
-            come[new[0]].add(name)
-        _note_host(state, name, old[0], new)
-    for place in (come.keys() | gone.keys()) - {""}:
-        _change_table(state.tables[place], come[place], gone[place])
+            removed[old[0]].add(name)
+            added[new[0]].add(name)
+        _update_host(state, name, old[0], new)
+    for place in (added.keys() | removed.keys()) - {""}:
+        _update_table(state.tables[place], added[place], removed[place])
         if not state.tables[place].hosts:
             del state.tables[place]
     return before != state.tables.keys()
 
 
-def _describe(board, name: str, now: float) -> tuple[str, tuple[str, ...]]:
+def _describe_host(board, name: str, now: float) -> tuple[str, tuple[str, ...]]:
     """Return the place that a host serves and the endpoints that it moved."""
     record = board.hosts.get(name)
     if record is None:
-        return NOWHERE
+        return NOT_USABLE
     board.membership.regions[record.place] = record.region
-    return (record.place, record.moved) if records.is_usable(record, now) else NOWHERE
+    return (
+        (record.place, record.moved) if records.is_usable(record, now) else NOT_USABLE
+    )
 
 
-def _note_host(state: PlacementState, name: str, old_place: str, new: tuple) -> None:
+def _update_host(state: PlacementState, name: str, old_place: str, new: tuple) -> None:
     place, moved = new
     if place:
-        state.seen[name] = new
+        state.known_hosts[name] = new
         state.tables.setdefault(place, PlaceTable())
     else:
-        del state.seen[name]
+        del state.known_hosts[name]
     for table in filter(None, map(state.tables.get, {place, old_place})):
         table.dirty = True
         table.moved.pop(name, None)
@@ -245,29 +258,29 @@
         state.tables[place].moved[name] = moved
 
 
-def _change_table(table: PlaceTable, come: set[str], gone: set[str]) -> None:
+def _update_table(table: PlaceTable, added: set[str], removed: set[str]) -> None:
     """Take hosts out of a table and into it."""
-    for name in gone:
+    for name in removed:
         table.hosts.pop(name, None)
-    for name in come:
+    for name in added:
         table.hosts[name] = rendezvous.hash_text(name)
-    if len(come) > CHOICES:
+    if len(added) > CHOICES:
         table.unranked.update(dict.fromkeys(table.choices))
-        come = set()
-    least = min(CHOICES_LEFT, len(table.hosts))
+        added = set()
+    minimum = min(MINIMUM_CHOICES, len(table.hosts))
     for endpoint, choices in table.choices.items():
         kept = choices
-        if gone and not gone.isdisjoint(kept):
-            kept = tuple(name for name in kept if name not in gone)
-        if come and kept:
-            kept = _insert(table, endpoint, kept, come)
+        if removed and not removed.isdisjoint(kept):
+            kept = tuple(name for name in kept if name not in removed)
+        if added and kept:
+            kept = _insert_hosts(table, endpoint, kept, added)
         if kept is not choices:
             table.choices[endpoint] = kept
-        if len(kept) < least:
+        if len(kept) < minimum:
             table.unranked[endpoint] = None
 
 
-def _insert(table: PlaceTable, endpoint: str, choices: tuple, come) -> tuple:
+def _insert_hosts(table: PlaceTable, endpoint: str, choices: tuple, added) -> tuple:
     """Return the choices with new hosts that score better than the last one.
 
     A host that scores worse is added only if the choices were all hosts of the
@@ -275,33 +288,33 @@
     """
     key, hosts = rendezvous.hash_text(endpoint), table.hosts
     last = rendezvous.mix(key, hosts[choices[-1]])
-    complete = len(choices) + len(come) == len(hosts)
-    better = [n for n in come if complete or rendezvous.mix(key, hosts[n]) < last]
+    complete = len(choices) + len(added) == len(hosts)
+    better = [n for n in added if complete or rendezvous.mix(key, hosts[n]) < last]
     if not better:
         return choices
     names = sorted((*choices, *better), key=lambda n: rendezvous.mix(key, hosts[n]))
     return tuple(names[:CHOICES])
 
 
-def _follow_endpoints(board, *, everything: bool) -> None:
+def _update_endpoints(board, *, compare_all: bool) -> None:
     """Give new and changed endpoints to the place that serves them."""
     state = board.placement_state
     state.endpoints_key = _make_endpoints_key(board)
-    for name in [name for name in state.homes if name not in board.endpoints]:
+    for name in [name for name in state.endpoint_places if name not in board.endpoints]:
         _remove(state, name)
         board.placement.pop(name, None)
         state.served_endpoints.discard(name)
     for name, record in board.endpoints.items():
-        home = state.homes.get(name)
-        if home is not None and home[0] == record.place and not everything:
+        known_pair = state.endpoint_places.get(name)
+        if known_pair is not None and known_pair[0] == record.place and not compare_all:
             continue
         place = _choose_place(board, name, record.place)
-        if home == (record.place, place) and name in _get_choices(state, place):
+        if known_pair == (record.place, place) and name in _get_choices(state, place):
             continue
         _remove(state, name)
         pair = (record.place, place)
         # One tuple for all endpoints of a place saves 1.5 MB at the target size.
-        state.homes[name] = state.pairs.setdefault(pair, pair)
+        state.endpoint_places[name] = state.shared_pairs.setdefault(pair, pair)
         if not place:
             # No host is usable anywhere; the endpoint keeps its last one.
             continue
@@ -317,7 +330,7 @@
 
 
 def _remove(state: PlacementState, endpoint: str) -> None:
-    _, place = state.homes.pop(endpoint, ("", ""))
+    _, place = state.endpoint_places.pop(endpoint, ("", ""))
     table = state.tables.get(place)
     if table is not None and table.choices.pop(endpoint, None) is not None:
         table.unranked.pop(endpoint, None)
@@ -336,20 +349,20 @@
         return place if tables else ""
     near = [name for name in tables if regions[name] == regions.get(place)]
     key = rendezvous.hash_text(endpoint)
-    seeds = [(rendezvous.hash_text(name), name) for name in near or tables]
-    return rendezvous.rank(key, seeds, 1)[0]
+    candidates = [(rendezvous.hash_text(name), name) for name in near or tables]
+    return rendezvous.rank(key, candidates, 1)[0]
 
 
 def _rank(table: PlaceTable, endpoint: str) -> tuple[str, ...]:
-    seeds = [(seed, name) for name, seed in table.hosts.items()]
+    candidates = [(name_hash, name) for name, name_hash in table.hosts.items()]
     key = rendezvous.hash_text(endpoint)
-    choices = tuple(rendezvous.rank(key, seeds, CHOICES))
+    choices = tuple(rendezvous.rank(key, candidates, CHOICES))
     table.choices[endpoint] = choices
     table.unranked.pop(endpoint, None)
     return choices
 
 
-def _advance(board, budget: int | None) -> None:
+def _rank_and_assign(board, budget: int | None) -> None:
     """Rank endpoints within a budget of scores; assign places that are ranked.
 
     The node's own place comes first, because the node serves endpoints of it.
@@ -376,7 +389,7 @@
         if old == host:
             continue
         changed += 1
-        _put(board, endpoint, host)
+        _set_host(board, endpoint, host)
         if old is not None:
             board.log(
                 logs.LogEvent.ENDPOINT_PLACED,
@@ -395,7 +408,7 @@
         )
 
 
-def _put(board, endpoint: str, host: str) -> None:
+def _set_host(board, endpoint: str, host: str) -> None:
     board.placement[endpoint] = host
     if host == board.identity.host:
         board.placement_state.served_endpoints.add(endpoint)
@@ -421,8 +434,8 @@
         counts[host] += 1
         first = host == table.choices[endpoint][0]
         reason = "rendezvous hash" if first else "bounded load"
-        given = table.moved.get(host)
-        if given is not None and make_id(endpoint) in given:
+        moved_ids = table.moved.get(host)
+        if moved_ids is not None and make_id(endpoint) in moved_ids:
             host, reason = _choose_next(table, endpoint, host), "moved by its host"
         yield endpoint, host, reason
 
@@ -432,12 +445,12 @@
     for host in table.choices[endpoint]:
         if counts[host] < bound:
             return host
-    choices = _complete(table, endpoint)
+    choices = _complete_choices(table, endpoint)
     free = (host for host in choices if counts[host] < bound)
     return next(free, min(choices, key=counts.__getitem__))
 
 
-def _complete(table: PlaceTable, endpoint: str) -> tuple[str, ...]:
+def _complete_choices(table: PlaceTable, endpoint: str) -> tuple[str, ...]:
     """Return all choices that are kept for an endpoint, ranked anew if some went.
 
     Results must not depend on which hosts went and came before.
@@ -452,7 +465,7 @@
     """Return the choice after a host, or the host if there is no other one."""
     choices = table.choices[endpoint]
     if choices[-1] == host:
-        choices = _complete(table, endpoint)
+        choices = _complete_choices(table, endpoint)
     return get_next(choices, host)
 
 
--- a/hyssopshelf/membership/protocol.py
+++ b/hyssopshelf/membership/protocol.py
@@ -12,9 +12,9 @@
 
     target: str
     sequence: int
-    ask_at: float
+    indirect_at: float
     suspect_at: float
-    asked: bool = False
+    indirect_requested: bool = False
 
 
 @attrs.define(kw_only=True)
@@ -31,7 +31,7 @@
     """The readers of a key and the score of the last one."""
 
     names: frozenset[str]
-    worst: int
+    highest_score: int
 
 
 @attrs.define(kw_only=True)
@@ -68,11 +68,11 @@
 
     seeds: tuple[str, ...] = ()
     version: int = 0
-    touched: set[str] = attrs.field(factory=set)
+    changed_hosts: set[str] = attrs.field(factory=set)
     peers: int = 0
-    heard_at: float | None = None
+    last_message_at: float | None = None
     isolated_at: float | None = None
-    list_leaving: bool = False
+    listed_leaving: bool = False
     listed: frozenset[str] = frozenset()
     listed_at: float = float("-inf")
     candidates: dict[str, str] = attrs.field(factory=dict)
@@ -83,18 +83,18 @@
     digests: gossip.Digests = attrs.field(factory=gossip.Digests)
     outbox: gossip.Outbox = attrs.field(factory=gossip.Outbox)
     probe: Probe | None = None
-    probe_at: float | None = None
-    probed_at: float = float("-inf")
-    order: list[str] = attrs.field(factory=list)
-    order_index: int = 0
-    doubted: list[str] = attrs.field(factory=list)
+    next_probe_at: float | None = None
+    last_probe_at: float = float("-inf")
+    probe_order: list[str] = attrs.field(factory=list)
+    probe_order_index: int = 0
+    priority_targets: list[str] = attrs.field(factory=list)
     conflicting: dict[str, None] = attrs.field(factory=dict)
     relays: dict[int, Relay] = attrs.field(factory=dict)
     sequence: int = 0
-    news_at: float = 0.0
-    contact_at: float = 0.0
-    join_at: float = 0.0
-    pull_at: float = 0.0
+    next_news_at: float = 0.0
+    next_dead_probe_at: float = 0.0
+    next_join_at: float = 0.0
+    next_pull_at: float = 0.0
     mismatches: list[int] = attrs.field(factory=lambda: [0] * gossip.BUCKETS)
     readers: dict[str, Readers] = attrs.field(factory=dict)
 
--- a/hyssopshelf/membership/rendezvous.py
+++ b/hyssopshelf/membership/rendezvous.py
@@ -14,8 +14,8 @@
 from collections.abc import Iterable
 
 MASK = (1 << 64) - 1
-_FIRST = 0xBF58476D1CE4E5B9
-_SECOND = 0x94D049BB133111EB
+_FIRST_MULTIPLIER = 0xBF58476D1CE4E5B9
+_SECOND_MULTIPLIER = 0x94D049BB133111EB
 
 HASH_CACHE_SIZE = 65_536
 """Seeds in the cache; the target size has 26,400 endpoints and 5,100 hosts."""
@@ -32,11 +32,11 @@
 
 def mix(first: int, second: int) -> int:
     """Return a 64-bit score of two seeds."""
-    value = ((first ^ second) * _FIRST) & MASK
-    return ((value ^ (value >> 29)) * _SECOND) & MASK
+    value = ((first ^ second) * _FIRST_MULTIPLIER) & MASK
+    return ((value ^ (value >> 29)) * _SECOND_MULTIPLIER) & MASK
 
 
-def rank(key: int, seeds: Iterable[tuple[int, str]], count: int) -> list[str]:
+def rank(key: int, candidates: Iterable[tuple[int, str]], count: int) -> list[str]:
     """Return the names with the lowest scores for a key, lowest first.
 
     Parameters
@@ -50,9 +50,9 @@
     """
     names = []
     scores = []
-    for seed, name in seeds:
+    for name_hash, name in candidates:
         # The function mix is written out: this loop is the cost of placement.
-        value = ((key ^ seed) * _FIRST) & MASK
-        scores.append(((value ^ (value >> 29)) * _SECOND) & MASK)
+        value = ((key ^ name_hash) * _FIRST_MULTIPLIER) & MASK
+        scores.append(((value ^ (value >> 29)) * _SECOND_MULTIPLIER) & MASK)
         names.append(name)
     return [name for _, name in heapq.nsmallest(count, zip(scores, names, strict=True))]
--- a/hyssopshelf/membership/tables.py
+++ b/hyssopshelf/membership/tables.py
@@ -3,11 +3,11 @@
 from hyssopshelf import base, logs
 from hyssopshelf.membership import exchange, gossip, protocol, records, transitions
 
-CONTACT_PERIOD_SECONDS = 5.0
+DEAD_PROBE_PERIOD_SECONDS = 5.0
 """Time between two attempts to reach a dead host, so that the two sides of a
 partition find each other after it heals."""
 
-CONTACTS = 3
+MAXIMUM_UNTRACKED_PROBES = 3
 """Untracked probes that a node sends at most in one probe period."""
 
 PULL_PERIOD_SECONDS = 5.0
@@ -17,19 +17,19 @@
 """Digests in a row that differ in a bucket before it is pulled; changes that
 are still spreading cause shorter runs."""
 
-PULLED_ROWS = 400
+MAXIMUM_PULLED_ROWS = 400
 """Rows that a pull asks for at most, with one bucket as the least amount; 28 KB
 every 5 s at the target size."""
 
 
-def contact(board, now: float) -> None:
+def probe_dead_hosts(board, now: float) -> None:
     """Probe dead hosts that may be back, without waiting for an answer."""
     state = board.membership
-    names = list(state.conflicting)[:CONTACTS]
+    names = list(state.conflicting)[:MAXIMUM_UNTRACKED_PROBES]
     for name in names:
         del state.conflicting[name]
-    if state.dead and now >= state.contact_at:
-        state.contact_at = now + CONTACT_PERIOD_SECONDS
+    if state.dead and now >= state.next_dead_probe_at:
+        state.next_dead_probe_at = now + DEAD_PROBE_PERIOD_SECONDS
         names.append(board.random.choice(list(state.dead)))
     for name in names:
         if name in state.dead:
@@ -101,7 +101,7 @@
         for name in listed - {board.identity.host}:
             state.outbox.discard(name)
     state.conflicting |= dict.fromkeys(listed & state.dead.keys())
-    state.doubted = [
+    state.priority_targets = [
         name
         for name in board.hosts
         if gossip.get_bucket(name) in message.buckets
@@ -116,7 +116,7 @@
 ) -> None:
     """Announce what the host list says about this host."""
     exchange.apply_message(board, message, host, now)
-    board.membership.list_leaving = message.leaving
+    board.membership.listed_leaving = message.leaving
 
 
 def compare_digests(board, host: str, packed: bytes, now: float) -> None:
@@ -126,16 +126,16 @@
     for bucket in range(gossip.BUCKETS):
         count = state.mismatches[bucket] + 1 if bucket in different else 0
         state.mismatches[bucket] = count
-    if now < state.pull_at:
+    if now < state.next_pull_at:
         return
     lasting = [b for b in different if state.mismatches[b] >= MISMATCHES_BEFORE_PULL]
     if not lasting:
         return
-    limit = max(1, PULLED_ROWS * gossip.BUCKETS // len(board.hosts))
+    limit = max(1, MAXIMUM_PULLED_ROWS * gossip.BUCKETS // len(board.hosts))
     buckets = tuple(sorted(board.random.sample(sorted(lasting), len(lasting))[:limit]))
     for bucket in buckets:
         state.mismatches[bucket] = 0
-    state.pull_at = now + PULL_PERIOD_SECONDS
+    state.next_pull_at = now + PULL_PERIOD_SECONDS
     board.log(logs.LogEvent.HOSTS_PULLED, host=host, buckets=len(buckets))
     exchange.send(
         board,
@@ -153,14 +153,14 @@
     announces it.
     """
     state = board.membership
-    transitions.start(board, now)
+    transitions.initialize(board, now)
     state.listed = frozenset(entry.name for entry in event.hosts)
     state.listed_at = now
     state.candidates = {}
     for entry in event.hosts:
         record = board.hosts.get(entry.name)
         if entry.name == board.identity.host:
-            state.list_leaving = entry.leaving
+            state.listed_leaving = entry.leaving
         elif record is None:
             state.candidates[entry.name] = entry.address
         elif record.leaving != entry.leaving and exchange.is_peer(board, entry.name):
@@ -170,5 +170,7 @@
             exchange.send(board, entry.name, notice)
     if state.peers:
         names = sorted(state.candidates)
-        for name in board.random.sample(names, min(CONTACTS, len(names))):
+        for name in board.random.sample(
+            names, min(MAXIMUM_UNTRACKED_PROBES, len(names))
+        ):
             exchange.send_probe(board, state.candidates[name], 0)
--- a/hyssopshelf/membership/tests/test_balancing.py
+++ b/hyssopshelf/membership/tests/test_balancing.py
@@ -26,7 +26,7 @@
         for endpoint, rate in rates.items():
             board = fleet.members["h0000"].board
             host = placement.locate(board, endpoint, fleet.now)
-            served = fleet.members[host].board.balance.served
+            served = fleet.members[host].board.balance.statement_counts
             served[endpoint] = served.get(endpoint, 0) + rate
         fleet.run(1.0)
 
--- a/hyssopshelf/membership/tests/test_hosts.py
+++ b/hyssopshelf/membership/tests/test_hosts.py
@@ -54,11 +54,11 @@
     fleet = start_fleet(40)
     fleet.stop("h0001")
     observer = fleet.members["h0000"]
-    seen = observer.board.membership.probed_at
+    seen = observer.board.membership.last_probe_at
     for _ in range(4):
         hosts.request_probe(observer.board, "h0001", fleet.now)
         fleet.run(0.3)
-    assert observer.board.membership.probed_at > seen
+    assert observer.board.membership.last_probe_at > seen
     state = get_record(fleet, "h0000", "h0001").state
     assert state is records.HostState.SUSPECT
     # Live hosts that are doubted only answer.
@@ -234,7 +234,9 @@
     board.membership.digests.toggle(record)
     board.membership.peers -= 1
     del board.hosts["h0005"]
-    board.membership.order = [n for n in board.membership.order if n != "h0005"]
+    board.membership.probe_order = [
+        n for n in board.membership.probe_order if n != "h0005"
+    ]
     fleet.connected = lambda sender, receiver: "h0005" not in (sender, receiver)
     # h0005 itself reaches h0001 sooner or later; only the others may tell of it.
     fleet.run(2.0)
@@ -327,7 +329,7 @@
         """Guards against counters and digests that drift from the table."""
         for member in self.fleet.members.values():
             board, state = member.board, member.board.membership
-            if state.heard_at is None:
+            if state.last_message_at is None:
                 continue
             own = board.hosts[member.name]
             assert own.state is records.HostState.ALIVE
--- a/hyssopshelf/membership/tests/test_placement.py
+++ b/hyssopshelf/membership/tests/test_placement.py
@@ -25,7 +25,7 @@
         name=name, address=name, place=place, region=REGIONS[place], **fields
     )
     board.hosts[name] = record
-    transitions._touch(board, name)
+    transitions._mark_changed(board, name)
     return record
 
 
@@ -48,7 +48,7 @@
 
 def set_state(board, name, state):
     board.hosts[name].state = blackboard.HostState(state)
-    transitions._touch(board, name)
+    transitions._mark_changed(board, name)
 
 
 def get_places(board):
@@ -151,7 +151,7 @@
     endpoint, host = next(iter(board.placement.items()))
     target = placement.find_next(board, endpoint)
     board.hosts[host].moved = (placement.make_id(endpoint),)
-    transitions._touch(board, host)
+    transitions._mark_changed(board, host)
     placement.step(board, 1.0)
     assert placement.locate(board, endpoint, 1.0) == target != host
     set_state(board, target, "dead")
@@ -200,9 +200,9 @@
 def test_rank_returns_the_lowest_scores():
     """Guards against a hash loop that differs from the score function."""
     names = [f"h{number}" for number in range(50)]
-    seeds = [(rendezvous.hash_text(name), name) for name in names]
-    expected = sorted(names, key=lambda name: placement.compute_weight("key", name))
-    assert rendezvous.rank(rendezvous.hash_text("key"), seeds, 6) == expected[:6]
+    candidates = [(rendezvous.hash_text(name), name) for name in names]
+    expected = sorted(names, key=lambda name: placement.compute_score("key", name))
+    assert rendezvous.rank(rendezvous.hash_text("key"), candidates, 6) == expected[:6]
 
 
 @hypothesis.settings(
@@ -216,7 +216,7 @@
         self.board = make_board()
         self.now = 0.0
         # Few choices and no spare room, so that lists run short in small places.
-        self.settings = {"CHOICES": 3, "CHOICES_LEFT": 2, "LOAD_FACTOR": 1.0}
+        self.settings = {"CHOICES": 3, "MINIMUM_CHOICES": 2, "LOAD_FACTOR": 1.0}
         self.swap_settings()
 
     def swap_settings(self):
@@ -244,7 +244,7 @@
         record = self.board.hosts.get(f"h{number}")
         if record is not None:
             record.moved = (placement.make_id(f"pool/d/e{moved}"),)
-            transitions._touch(self.board, record.name)
+            transitions._mark_changed(self.board, record.name)
 
     @stateful.rule(number=st.integers(0, 30), place=st.sampled_from(PLACES))
     def add_endpoint(self, number, place):
--- a/hyssopshelf/membership/transitions.py
+++ b/hyssopshelf/membership/transitions.py
@@ -35,7 +35,7 @@
 """A failure within this time of the one before is a flap."""
 
 
-def find_own(board, now: float) -> records.HostRecord:
+def ensure_own_record(board, now: float) -> records.HostRecord:
     """Return the record of this host and create it at the first call."""
     identity = board.identity
     record = board.hosts.get(identity.host)
@@ -47,18 +47,18 @@
             region=identity.region,
             incarnation=identity.incarnation,
         )
-        _add(board, record)
+        _add_record(board, record)
         _log_alive(board, record)
     return record
 
 
-def start(board, now: float) -> None:
+def initialize(board, now: float) -> None:
     """Derive digests and counters from existing records, at the first call only."""
     state = board.membership
-    if state.heard_at is not None:
+    if state.last_message_at is not None:
         return
-    state.heard_at = now
-    find_own(board, now)
+    state.last_message_at = now
+    ensure_own_record(board, now)
     state.digests = gossip.Digests()
     for record in board.hosts.values():
         state.digests.toggle(record)
@@ -67,29 +67,29 @@
     state.peers = len(board.hosts) - dead - 1
 
 
-def _touch(board, name: str) -> None:
+def _mark_changed(board, name: str) -> None:
     """Note that a host may have become usable or unusable, or moved endpoints."""
     state = board.membership
     state.version += 1
-    state.touched.add(name)
-    for key, order in list(state.readers.items()):
+    state.changed_hosts.add(name)
+    for key, readers in list(state.readers.items()):
         score = rendezvous.mix(rendezvous.hash_text(key), rendezvous.hash_text(name))
-        if score <= order.worst:
+        if score <= readers.highest_score:
             del state.readers[key]
 
 
-def _add(board, record: records.HostRecord) -> None:
+def _add_record(board, record: records.HostRecord) -> None:
     state = board.membership
     board.hosts[record.name] = record
     state.regions[record.place] = record.region
     state.digests.toggle(record)
     state.outbox.add(record.name)
-    _touch(board, record.name)
+    _mark_changed(board, record.name)
     if record.name != board.identity.host:
         state.peers += 1
 
 
-def _change(board, record: records.HostRecord, **values) -> None:
+def _update_record(board, record: records.HostRecord, **values) -> None:
     """Set fields of a record and keep all that is derived from it in step."""
     state = board.membership
     was_dead = record.state is records.HostState.DEAD
@@ -126,16 +126,16 @@
     refutation : int
         Number that the announcement must exceed.
     """
-    record = find_own(board, now)
+    record = ensure_own_record(board, now)
     leaving = record.leaving if leaving is None else leaving
     moved = record.moved if moved is None else moved
     state = records.HostState.LEAVING if leaving else records.HostState.ALIVE
     if (leaving, moved) != (record.leaving, record.moved):
-        _touch(board, record.name)
+        _mark_changed(board, record.name)
     if leaving != record.leaving:
         board.log(logs.LogEvent.HOST_LEAVING, host=record.name, leaving=leaving)
     refutation = max(refutation, record.refutation) + 1
-    _change(
+    _update_record(
         board,
         record,
         state=state,
@@ -149,11 +149,11 @@
     """Apply news about a host if it is newer than what the node knows."""
     name, incarnation, refutation, code = row[:4]
     if name == board.identity.host:
-        _check_own_news(board, row, now)
+        _refute_suspicion(board, row, now)
         return
     record = board.hosts.get(name)
     if record is None:
-        _apply_unknown(board, row)
+        _add_unknown(board, row)
     elif not gossip.is_newer(row, record):
         return
     elif code == gossip.DEAD:
@@ -164,9 +164,9 @@
         _mark_live(board, record, row, now)
 
 
-def _check_own_news(board, row: gossip.Row, now: float) -> None:
+def _refute_suspicion(board, row: gossip.Row, now: float) -> None:
     """Refute suspicion or death of this host in its present incarnation."""
-    own = find_own(board, now)
+    own = ensure_own_record(board, now)
     _, incarnation, refutation, code = row[:4]
     current = incarnation == own.incarnation and refutation >= own.refutation
     if current and code >= gossip.SUSPECT:
@@ -175,7 +175,7 @@
         announce(board, now=now, refutation=refutation)
 
 
-def _apply_unknown(board, row: gossip.Row) -> None:
+def _add_unknown(board, row: gossip.Row) -> None:
     name, incarnation, refutation, code, address, place, region, moved = row
     if code >= gossip.SUSPECT or not address:
         return
@@ -191,7 +191,7 @@
         leaving=leaving,
         moved=moved,
     )
-    _add(board, record)
+    _add_record(board, record)
     board.membership.candidates.pop(name, None)
     _log_alive(board, record)
 
@@ -208,7 +208,7 @@
 def suspect(board, name: str, now: float) -> bool:
     """Suspect a host that did not answer; return whether that is new."""
     record = board.hosts.get(name)
-    if record is None or gossip.get_code(record) >= gossip.SUSPECT:
+    if record is None or gossip.get_state_code(record) >= gossip.SUSPECT:
         return False
     board.count("membership_suspicions")
     _mark_suspect(board, record, now, record.incarnation, record.refutation)
@@ -219,8 +219,8 @@
 def _mark_suspect(board, record, now, incarnation, refutation) -> None:
     board.membership.suspects[record.name] = now + REPORTED_SUSPICION_SECONDS
     if record.state is records.HostState.DEAD:
-        _note_return(board, record, now)
-    _change(
+        _record_return(board, record, now)
+    _update_record(
         board,
         record,
         state=records.HostState.SUSPECT,
@@ -234,12 +234,12 @@
     state = board.membership
     state.suspects.pop(record.name, None)
     if record.state is not records.HostState.DEAD:
-        _note_failure(record, now)
-        _touch(board, record.name)
+        _record_failure(record, now)
+        _mark_changed(board, record.name)
         state.dead[record.name] = now + FORGET_SECONDS
         board.count("membership_deaths")
         board.log(logs.LogEvent.HOST_DEAD, host=record.name, flaps=record.flaps)
-    _change(
+    _update_record(
         board,
         record,
         state=records.HostState.DEAD,
@@ -257,14 +257,14 @@
     was_dead = record.state is records.HostState.DEAD
     restarted = incarnation != record.incarnation
     if restarted and not was_dead and not record.leaving:
-        _note_failure(record, now)
+        _record_failure(record, now)
     if restarted or was_dead:
-        _note_return(board, record, now)
+        _record_return(board, record, now)
     if (leaving, place, moved) != (record.leaving, record.place, record.moved):
-        _touch(board, record.name)
+        _mark_changed(board, record.name)
     if leaving and not record.leaving:
         board.log(logs.LogEvent.HOST_LEAVING, host=record.name, leaving=True)
-    _change(
+    _update_record(
         board,
         record,
         state=records.HostState.LEAVING if leaving else records.HostState.ALIVE,
@@ -281,17 +281,17 @@
         _log_alive(board, record)
 
 
-def _note_failure(record: records.HostRecord, now: float) -> None:
+def _record_failure(record: records.HostRecord, now: float) -> None:
     recent = now - record.failed_at < FLAP_WINDOW_SECONDS
     record.flaps = record.flaps + 1 if recent else 0
     record.failed_at = now
 
 
-def _note_return(board, record: records.HostRecord, now: float) -> None:
+def _record_return(board, record: records.HostRecord, now: float) -> None:
     """Hold a host that flapped back until it has been stable."""
     state = board.membership
     state.dead.pop(record.name, None)
-    _touch(board, record.name)
+    _mark_changed(board, record.name)
     if record.flaps == 0:
         return
     seconds = min(STABLE_SECONDS * 2 ** (record.flaps - 1), MAXIMUM_STABLE_SECONDS)
@@ -322,7 +322,7 @@
     state = board.membership
     for name in [name for name, end in state.held.items() if end <= now]:
         del state.held[name]
-        _touch(board, name)
+        _mark_changed(board, name)
 
 
 def forget_dead(board, now: float) -> None:
