--- a/hyssopshelf/membership/__init__.py
+++ b/hyssopshelf/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which hosts are alive and which host serves which endpoint."""
+"""Failure detection among hosts and placement of endpoints on live hosts."""
--- a/hyssopshelf/membership/balancing.py
+++ b/hyssopshelf/membership/balancing.py
@@ -1,8 +1,9 @@
-"""Moves of hot endpoints from a busy host to their next choice.
+"""Move hot endpoints from an overloaded host to the next host in their ranking.
 
-A host that is busy offers one endpoint to the endpoint's next choice. If that
-one accepts, the busy host announces the move with its own row of membership, so
-that all nodes place the endpoint alike. A move ends with the host that made it.
+An overloaded host offers one endpoint to the host that follows it in the
+endpoint's rendezvous order. If that host accepts, the overloaded host announces
+the move in its own membership row, so that all nodes compute the same placement.
+A move lasts as long as the host that announced it is usable.
 """
 
 import attrs
@@ -11,44 +12,47 @@
 from hyssopshelf.membership import placement, transitions
 
 REVIEW_SECONDS = 10.0
-"""Time between two reviews; a rate measured over less varies too much."""
+"""Time between two load reviews; a rate over a shorter window is too noisy."""
 
 STATEMENT_SECONDS = 0.0004
-"""Processor time of a statement on its serving node, in seconds."""
+"""Processor time of one statement on the node that serves it, in seconds."""
 
 HIGH_LOAD = 0.6
-"""Part of a core above which a host offers endpoints.
+"""Load above which a host offers endpoints, as a fraction of one core.
 
-With fixed cost and Poisson arrivals a statement waits 0.75 of its processor
-time at 0.6 and 4.5 times it at 0.9. The mean load at the target size is 0.42.
+With a fixed cost per statement and Poisson arrivals, a statement waits 0.75
+times its processor time at a load of 0.6 and 4.5 times at 0.9. The mean load at
+the target size is 0.42.
 """
 
 MAXIMUM_LOAD_RATIO = 0.9
-"""A move must leave both hosts below this part of the sender's load."""
+"""Upper bound on the load of both hosts after a move, relative to the sender's."""
 
 RECLAIM_LOAD = 0.45
-"""A host takes an endpoint back if its load with it stays below this."""
+"""Load, including the endpoint, below which a host reclaims a moved endpoint."""
 
 REFUSAL_SECONDS = 60.0
-"""Time for which a refused endpoint is not offered again."""
+"""Time during which a refused endpoint is not offered again."""
 
 
 @attrs.define(kw_only=True)
 class BalancingState:
-    """State of the moves of this host.
+    """Load measurements and endpoint moves of this host.
 
     Attributes
     ----------
     statement_counts : dict of str to int
         Statements served since the last review, by endpoint.
     loads : dict of str to float
-        Part of a core that each endpoint took before the last review.
+        Load of each endpoint between the last two reviews, as a fraction of one
+        core.
     accepted_load : float
-        Load of the endpoints accepted since the last review.
-    given : dict of str to float
-        Endpoints that this host gave away, with their load at that time.
+        Total load of the endpoints accepted since the last review.
+    moved_loads : dict of str to float
+        Load of each endpoint that this host moved away, at the time of the move;
+        ordered by that time.
     refused_until : dict of str to float
-        Endpoints that were refused.
+        Time until which a refused endpoint is not offered again.
     """
 
     statement_counts: dict[str, int] = attrs.field(factory=dict)
@@ -62,7 +66,7 @@
 @messages.register("placement.offer")
 @attrs.frozen(kw_only=True)
 class Offer:
-    """Ask the next choice of an endpoint to serve it."""
+    """Asks the next host in the ranking of an endpoint to serve it."""
 
     endpoint: str
     load: float
@@ -72,7 +76,7 @@
 @messages.register("placement.offered")
 @attrs.frozen(kw_only=True)
 class OfferAnswer:
-    """Answer an offer."""
+    """Accepts or refuses an offer."""
 
     endpoint: str
     load: float
@@ -80,13 +84,13 @@
 
 
 def count_served(board, endpoint: str) -> None:
-    """Count a statement that this host runs at an endpoint."""
+    """Count a statement that this host runs on an endpoint."""
     served = board.balance.statement_counts
     served[endpoint] = served.get(endpoint, 0) + 1
 
 
 def step(board, now: float) -> None:
-    """Review the load of this host."""
+    """Measure the load of this host; offer or reclaim one endpoint if needed."""
     state = board.balance
     if state.reviewed_at is None:
         state.reviewed_at = now
@@ -127,9 +131,10 @@
 
 
 def choose_endpoint(loads: dict[str, float], load: float) -> str | None:
-    """Return the endpoint that a host should give away, None for none.
+    """Return the endpoint that a host should move away, or None.
 
-    The smallest one that is enough, otherwise the largest one.
+    This is the smallest endpoint whose move brings the load down to
+    ``HIGH_LOAD``, or the largest one if no single move suffices.
     """
     if load <= HIGH_LOAD or not loads:
         return None
@@ -139,12 +144,12 @@
 
 
 def accepts(own_load: float, load: float, sender_load: float) -> bool:
-    """Return whether a move lowers the greater load of the two hosts enough."""
+    """Return whether a move lowers the higher load of the two hosts enough."""
     return max(own_load + load, sender_load - load) <= MAXIMUM_LOAD_RATIO * sender_load
 
 
 def _reclaim(board, load: float, now: float) -> None:
-    """Take back the endpoint that was given away last if there is room again."""
+    """Reclaim the most recently moved endpoint if the load is low enough again."""
     state = board.balance
     if not state.moved_loads:
         return
@@ -162,7 +167,7 @@
 
 @base.receive.register
 def receive_offer(message: Offer, board, host: str, now: float) -> None:
-    """Accept an endpoint if this host stays well below the sender's load."""
+    """Accept an endpoint unless the move gains too little or this host drains."""
     state = board.balance
     load = sum(state.loads.values()) + state.accepted_load
     accepted = accepts(load, message.load, message.sender_load) and not board.draining
@@ -176,7 +181,7 @@
 
 @base.receive.register
 def receive_offer_answer(message: OfferAnswer, board, host: str, now: float) -> None:
-    """Announce a move that was accepted."""
+    """Announce an accepted move; pause further offers after a refusal."""
     state = board.balance
     if not message.accepted:
         state.refused_until[message.endpoint] = now + REFUSAL_SECONDS
--- a/hyssopshelf/membership/exchange.py
+++ b/hyssopshelf/membership/exchange.py
@@ -1,21 +1,21 @@
-"""What all messages of membership have in common."""
+"""Helpers shared by all membership messages: sending, rows and message receipt."""
 
 from hyssopshelf import base, logs
 from hyssopshelf.membership import gossip, protocol, records, transitions
 
 
 def send(board, host: str, message) -> None:
-    """Send a message to a host, or to an address whose host is not known."""
+    """Send a message to a host name, or to an address if the name is unknown."""
     board.act(base.SendPeer(host=host, message=message))
 
 
 def make_own_row(board) -> gossip.Row:
-    """Return the row with which this host announces itself."""
+    """Return the membership row of this host."""
     return gossip.make_row(board.hosts[board.identity.host])
 
 
 def is_peer(board, name: str) -> bool:
-    """Return whether a name is another host that is not dead."""
+    """Return whether a name belongs to another host that is not dead."""
     record = board.hosts.get(name)
     return (
         record is not None
@@ -25,10 +25,10 @@
 
 
 def collect_rows(board, receiver: str) -> tuple[gossip.Row, ...]:
-    """Return the rows for a message.
+    """Return the rows to piggyback on a message.
 
-    A receiver that this node suspects or takes for dead always gets the row
-    about itself, so that it can refute.
+    A receiver that this node suspects or considers dead always gets the row
+    about itself, so that it can refute it.
     """
     rows = board.membership.outbox.take(board.hosts, board.identity.host)
     record = board.hosts.get(receiver)
@@ -38,7 +38,7 @@
 
 
 def send_probe(board, host: str, sequence: int) -> None:
-    """Send a probe; sequence 0 expects no answer."""
+    """Send a probe; the acknowledgement of sequence 0 is not tracked."""
     message = protocol.ProbeHost(
         sequence=sequence,
         sender=make_own_row(board),
@@ -50,9 +50,9 @@
 
 
 def restart_timeouts(board, now: float) -> None:
-    """Restart all waiting after a time in which this node heard nothing.
+    """Restart the probe and all suspicion timeouts after a pause or an isolation.
 
-    Silence that the node caused itself says nothing about other hosts.
+    Silence that the node itself caused is no evidence against other hosts.
     """
     state = board.membership
     state.probe = None
@@ -62,7 +62,7 @@
 
 
 def record_message(board, now: float) -> None:
-    """Note that another host was heard; this ends an isolation."""
+    """Record that a message arrived from another host; this ends an isolation."""
     state = board.membership
     state.last_message_at = now
     if state.isolated_at is not None:
@@ -73,7 +73,7 @@
 
 
 def apply_message(board, message, host: str, now: float) -> None:
-    """Apply what every message carries: its sender and the rows."""
+    """Apply the row of the sender and the piggybacked rows of a message."""
     transitions.initialize(board, now)
     record_message(board, now)
     transitions.apply_row(board, message.sender, now)
--- a/hyssopshelf/membership/gossip.py
+++ b/hyssopshelf/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Rows about hosts that nodes exchange, and what a node keeps to spread them."""
+"""Membership rows, digests of the host table and the queue of rows to send."""
 
 import functools
 import zlib
@@ -8,35 +8,38 @@
 from hyssopshelf.membership import records, rendezvous
 
 ALIVE, LEAVING, SUSPECT, DEAD = range(4)
-"""Codes of the states in a row."""
+"""State codes in a row."""
 
 Row = tuple[str, int, int, int, str, str, str, tuple[str, ...]]
 """Name, incarnation, refutation, state code, address, place, region and the ids
-of endpoints that the host gave to their next choice.
+of endpoints that the host moved to the next host in their ranking.
 
-Rows are tuples without field names because they are most of the traffic of
-membership. The last four are empty in rows of suspect and dead hosts, which the
-receivers know already.
+Rows are tuples without field names because they make up most of the membership
+traffic. The last four fields are empty for suspect and dead hosts, whose details
+the receivers already know.
 """
 
 BUCKETS = 16
-"""Parts of the table of hosts that are compared by digest."""
+"""Number of buckets of the host table that are compared by digest."""
 
 DIGEST_BYTES = 4
 _DIGEST_MASK = (1 << (8 * DIGEST_BYTES)) - 1
 
 MAXIMUM_ROWS = 12
-"""Rows in one message; with 70 bytes a row, a full message has 0.9 KB."""
+"""Upper bound on the rows in a message; at 70 bytes each, 12 rows take 0.9 KB."""
 
 MAXIMUM_WAITING = 1024
-"""Rows that wait to be sent at most; it bounds the cost of choosing among them
-after a partition heals, and exceeds the 364 hosts of a failure domain."""
+"""Upper bound on the rows waiting to be sent.
+
+It bounds the cost of selecting rows after a partition heals, and exceeds the 364
+hosts of a failure domain.
+"""
 
 RETRANSMISSION_FACTOR = 3
-"""A row is sent this number times log2 of the number of hosts.
+"""Factor of log2 of the number of hosts that gives how often a row is sent.
 
-Das et al. send each row lambda log n times; bench_membership gives the time
-until all nodes know a change.
+SWIM (Das et al., DSN 2002) sends each row lambda log n times. bench_membership
+measures the time until all nodes know a change.
 """
 
 
@@ -50,7 +53,7 @@
 
 
 def make_row(record: records.HostRecord) -> Row:
-    """Return the row that tells what this node believes of a host."""
+    """Return the row with this node's view of a host."""
     code = get_state_code(record)
     known = (record.name, record.incarnation, record.refutation, code)
     if code >= SUSPECT:
@@ -59,10 +62,10 @@
 
 
 def is_newer(row: Row, record: records.HostRecord) -> bool:
-    """Return whether a row supersedes what a record says.
+    """Return whether a row supersedes a record.
 
     Only the host itself raises its incarnation and refutation. With equal
-    numbers suspicion overrides life and death overrides suspicion.
+    numbers SUSPECT overrides ALIVE and LEAVING, and DEAD overrides SUSPECT.
     """
     code = get_state_code(record)
     weight = code if code >= SUSPECT else ALIVE
@@ -73,12 +76,12 @@
 
 @functools.lru_cache(maxsize=rendezvous.HASH_CACHE_SIZE)
 def get_bucket(name: str) -> int:
-    """Return the bucket of a host."""
+    """Return the digest bucket of a host."""
     return zlib.crc32(name.encode()) % BUCKETS
 
 
 def make_digest(record: records.HostRecord) -> int:
-    """Return the digest of a record that is not dead."""
+    """Return the digest of a record; only records that are not dead have one."""
     number = record.incarnation * 1_000_003 + record.refutation
     value = rendezvous.mix(rendezvous.hash_text(record.name), number)
     return (value >> 16) & _DIGEST_MASK
@@ -86,25 +89,25 @@
 
 @attrs.define(kw_only=True)
 class Digests:
-    """Digest of each bucket of the hosts that are not dead.
+    """Digests of the host table, one per bucket.
 
-    Digests leave out suspicion, which is short, and the dead, which nodes
+    They leave out suspicion, which is short-lived, and dead hosts, which nodes
     forget at different times.
     """
 
     _values: list[int] = attrs.field(factory=lambda: [0] * BUCKETS, init=False)
 
     def toggle(self, record: records.HostRecord) -> None:
-        """Add a record that is not included, or take out one that is."""
+        """Add a record that is not included yet, or remove one that is (by XOR)."""
         if record.state is not records.HostState.DEAD:
             self._values[get_bucket(record.name)] ^= make_digest(record)
 
     def pack(self) -> bytes:
-        """Return the digests for the wire."""
+        """Return the digests encoded for a message."""
         return b"".join(value.to_bytes(DIGEST_BYTES, "big") for value in self._values)
 
     def list_differences(self, packed: bytes) -> list[int]:
-        """Return the buckets whose digest differs from another node's."""
+        """Return the buckets whose digests differ from those of another node."""
         own = self.pack()
         if own == packed or len(packed) != len(own):
             return []
@@ -118,15 +121,15 @@
 
 @attrs.define(kw_only=True)
 class Outbox:
-    """Hosts whose rows still have to be sent, with the times each was sent."""
+    """Queue of hosts whose rows have to be sent, with the send count of each."""
 
     _send_counts: dict[str, int] = attrs.field(factory=dict, init=False)
 
     def add(self, name: str) -> None:
-        """Send the row of a host anew.
+        """Queue the row of a host and reset its send count.
 
-        If too many wait, the one that was sent most often is dropped; digests
-        repair what does not arrive.
+        If the queue is full, the row that was sent most often is dropped; the
+        digest comparison repairs rows that do not arrive.
         """
         self._send_counts[name] = 0
         if len(self._send_counts) > MAXIMUM_WAITING:
@@ -135,19 +138,19 @@
             ]
 
     def discard(self, name: str) -> None:
-        """Do not send the row of a host."""
+        """Remove the row of a host from the queue."""
         self._send_counts.pop(name, None)
 
     def has_fresh_rows(self, hosts: dict[str, records.HostRecord]) -> bool:
-        """Return whether a row was sent less than log2 of the hosts times."""
+        """Return whether a queued row was sent fewer than log2(number of hosts) times."""
         limit = max(1, len(hosts)).bit_length()
         return any(sent < limit for sent in self._send_counts.values())
 
     def take(self, hosts: dict[str, records.HostRecord], except_for: str) -> list[Row]:
-        """Return the rows for one message, those sent least often first.
+        """Return the rows for one message, least often sent first.
 
-        The row of the host ``except_for`` is counted and left out, because each
-        message carries its sender's row anyway.
+        The row of the host ``except_for``, the sender, is counted as sent but
+        left out, because each message carries its sender's row anyway.
         """
         if not self._send_counts:
             return []
