--- a/hyssopshelf/membership/balancing.py
+++ b/hyssopshelf/membership/balancing.py
@@ -3,7 +3,7 @@
 An overloaded host offers one endpoint to the host that follows it in the
 endpoint's rendezvous order. If that host accepts, the overloaded host announces
 the move in its own membership row, so that all nodes compute the same placement.
-A move lasts as long as the host that announced it is usable.
+A move ends when the announcing host reclaims the endpoint or becomes unusable.
 """
 
 import attrs
--- a/hyssopshelf/membership/exchange.py
+++ b/hyssopshelf/membership/exchange.py
@@ -50,7 +50,7 @@
 
 
 def restart_timeouts(board, now: float) -> None:
-    """Restart the probe and all suspicion timeouts after a pause or an isolation.
+    """Drop the open probe and restart all timeouts after a pause or an isolation.
 
     Silence that the node itself caused is no evidence against other hosts.
     """
--- a/hyssopshelf/membership/gossip.py
+++ b/hyssopshelf/membership/gossip.py
@@ -20,7 +20,7 @@
 """
 
 BUCKETS = 16
-"""Number of buckets of the host table that are compared by digest."""
+"""Number of buckets of the host table, which are compared by digest."""
 
 DIGEST_BYTES = 4
 _DIGEST_MASK = (1 << (8 * DIGEST_BYTES)) - 1
@@ -142,7 +142,7 @@
         self._send_counts.pop(name, None)
 
     def has_fresh_rows(self, hosts: dict[str, records.HostRecord]) -> bool:
-        """Return whether a queued row was sent fewer than log2(number of hosts) times."""
+        """Return whether a row was sent fewer than log2(number of hosts) times."""
         limit = max(1, len(hosts)).bit_length()
         return any(sent < limit for sent in self._send_counts.values())
 
--- a/hyssopshelf/membership/hosts.py
+++ b/hyssopshelf/membership/hosts.py
@@ -1,9 +1,9 @@
-"""Which hosts are live: failure detection by probes and gossip.
+"""Failure detection by probes and gossip (SWIM [1]_ with Lifeguard [2]_ rules).
 
-Each node probes one random host a second, asks three others to probe it when
-it is silent, suspects it, and declares it dead when the suspicion is not
-refuted in time. Changes travel on the probe messages. docs/membership.md gives
-the reasons, the limits and the measured figures.
+Each node probes one host per second, in random order. If the host does not
+answer, the node asks three others to probe it, then suspects it, and declares it
+dead if the suspicion is not refuted in time. Changes are piggybacked on the
+probe messages. docs/membership.md gives the reasons, limits and measurements.
 
 References
 ----------
@@ -24,42 +24,42 @@
 )
 
 PROBE_PERIOD_SECONDS = 1.0
-"""Time between two probes of a node, in seconds."""
+"""Interval between the regular probes that a node sends."""
 
 DIRECT_TIMEOUT_SECONDS = 0.3
-"""Silence after which other hosts are asked to probe the target.
+"""Time without an acknowledgement after which indirect probes are requested.
 
 A round trip between regions takes 24 ms and each side may add a tick of 50 ms.
 """
 
 INDIRECT_TIMEOUT_SECONDS = 0.7
-"""Silence after which a target is suspected, in seconds."""
+"""Time without an acknowledgement after which the target is suspected."""
 
 NEWS_PERIOD_SECONDS = 0.25
-"""Time between two messages that carry fresh changes and are no probes."""
+"""Minimum interval between messages sent only to spread fresh changes."""
 
 EARLY_PROBE_PERIOD_SECONDS = 0.25
-"""Least time between two probes of which one is out of turn."""
+"""Minimum time between the last probe and one sent ahead of its turn."""
 
 INDIRECT_PROBERS = 3
-"""Hosts that are asked to probe a silent target."""
+"""Number of hosts that are asked to probe a target that does not answer."""
 
 ISOLATION_SECONDS = 2.5
-"""Silence of all hosts after which a node takes itself to be cut off.
+"""Time without a message from any host after which a node considers itself isolated.
 
-It must be shorter than INDIRECT_TIMEOUT_SECONDS plus the suspicion time, so
-that a node that is cut off notices this before it declares the first host dead.
+It must be shorter than INDIRECT_TIMEOUT_SECONDS plus the suspicion time, so that
+an isolated node detects its isolation before it declares the first host dead.
 """
 
 JOIN_PERIOD_SECONDS = 1.0
-"""Time between two attempts of a node without peers to join."""
+"""Interval between join attempts of a node without peers."""
 
 READERS = 3
-"""Hosts that read the host list or watch a key of the store."""
+"""Number of hosts that read the host list or watch a key of the store."""
 
 
 def step(board, now: float) -> None:
-    """Probe, end suspicions and holds, and join if there are no peers."""
+    """Send due probes, end suspicions and holds, and join if there are no peers."""
     state = board.membership
     transitions.initialize(board, now)
     own = board.hosts[board.identity.host]
@@ -81,10 +81,10 @@
 
 
 def request_probe(board, host: str, now: float) -> None:
-    """Probe a host out of turn because a message to it was not sent.
+    """Probe a host ahead of its turn because a message to it could not be sent.
 
-    In a small fleet several seconds may pass until a host's next turn. Out of
-    turn there are at most four probes a second.
+    Even in a small fleet, several seconds may pass until a host's turn. At most
+    four probes per second are sent ahead of their turn.
     """
     state = board.membership
     if not exchange.is_peer(board, host) or host in state.suspects:
@@ -101,10 +101,10 @@
 
 
 def _check_isolation(board, now: float) -> None:
-    """Notice that no host has been heard from.
+    """Detect that no message from any host has arrived for some time.
 
-    With a single peer its failure and the node's own isolation look the same;
-    the peer is then judged by probes alone.
+    With a single peer, its failure cannot be told from the node's own isolation;
+    the peer's state then depends on probes alone.
     """
     state = board.membership
     silent = now - state.last_message_at > ISOLATION_SECONDS
@@ -124,7 +124,7 @@
         _handle_silence(board, probe.target, now)
     if now < state.next_probe_at:
         return
-    # A fixed period keeps the rate exact; after a pause no probe is made up for.
+    # A fixed schedule keeps the rate exact; probes missed in a pause are skipped.
     state.next_probe_at = max(state.next_probe_at + PROBE_PERIOD_SECONDS, now)
     for relay in [key for key, value in state.relays.items() if value.expires_at < now]:
         del state.relays[relay]
@@ -144,7 +144,7 @@
 
 
 def _send_news(board, now: float) -> None:
-    """Send fresh changes to one random host."""
+    """Send fresh changes to one random host between the probes."""
     state = board.membership
     if now < state.next_news_at or not state.outbox.has_fresh_rows(board.hosts):
         return
@@ -157,7 +157,7 @@
 
 
 def _choose_random(board) -> str | None:
-    """Return a random live host; a few draws may all hit dead ones."""
+    """Return a random live host, or None if all of a few draws hit dead ones."""
     order = board.membership.probe_order
     for _ in range(INDIRECT_PROBERS if order else 0):
         name = board.random.choice(order)
@@ -167,17 +167,17 @@
 
 
 def _handle_silence(board, target: str, now: float) -> None:
-    """Suspect a silent host and give it two ways to hear of it at once."""
+    """Suspect a host; inform it at once by a direct probe and by indirect ones."""
     if transitions.suspect(board, target, now):
         exchange.send_probe(board, target, 0)
         _request_indirect_probes(board, target, 0)
 
 
 def _choose_target(board) -> str | None:
-    """Return the next host in a random order of all hosts.
+    """Return the next probe target: requested ones first, then in random order.
 
-    The order is used up before a new one is made, so that each host is probed
-    by each node within a bounded time.
+    The random order covers all hosts before it is shuffled again, so that each
+    node probes each host within a bounded time.
     """
     state = board.membership
     while state.priority_targets:
@@ -200,7 +200,7 @@
 
 def _request_indirect_probes(board, target: str, sequence: int) -> None:
     chosen: set[str] = set()
-    # A few more draws than helpers, because draws may repeat.
+    # More draws than probers are needed, because draws may repeat.
     for _ in range(3 * INDIRECT_PROBERS):
         name = _choose_random(board)
         if name not in (None, target) and len(chosen) < INDIRECT_PROBERS:
@@ -217,7 +217,7 @@
 
 @base.receive.register
 def receive_probe(message: protocol.ProbeHost, board, host: str, now: float) -> None:
-    """Acknowledge a probe."""
+    """Acknowledge a probe and compare the digests that it carries."""
     exchange.apply_message(board, message, host, now)
     _acknowledge(board, host, message.sequence)
     tables.compare_digests(board, host, message.digests, now)
@@ -235,7 +235,7 @@
 
 @base.receive.register
 def receive_news(message: protocol.News, board, host: str, now: float) -> None:
-    """Apply changes."""
+    """Apply changes that were sent without a probe."""
     exchange.apply_message(board, message, host, now)
 
 
@@ -243,7 +243,7 @@
 def receive_acknowledge(
     message: protocol.Acknowledge, board, host: str, now: float
 ) -> None:
-    """End the probe that the message answers, or pass the answer on."""
+    """End the probe that the message answers, or relay it to the requesting host."""
     exchange.apply_message(board, message, host, now)
     state = board.membership
     if state.probe is not None and state.probe.sequence == message.sequence:
@@ -257,7 +257,7 @@
 
 @base.receive.register
 def receive_relay(message: protocol.RelayProbe, board, host: str, now: float) -> None:
-    """Probe a host on behalf of another one."""
+    """Probe a host on behalf of the sender."""
     exchange.apply_message(board, message, host, now)
     if message.target not in board.hosts:
         return
@@ -275,15 +275,15 @@
 def is_reader(board, key: str) -> bool:
     """Return whether this node reads a key of the platform for all nodes.
 
-    True for the live hosts that are lowest in a rendezvous order of the key,
-    and for a node that is cut off from all others.
+    True for the live hosts with the lowest rendezvous scores for the key, and
+    for a node that is isolated or has no peers.
 
     Parameters
     ----------
     board : blackboard.Blackboard
         State of the node.
     key : str
-        Name of what is read, such as ``hosts`` or ``configuration``.
+        Name of the data that is read, such as ``hosts`` or ``configuration``.
     """
     if board.membership.isolated_at is not None:
         return True
@@ -293,7 +293,7 @@
 
 
 def _find_readers(board, key: str) -> frozenset[str]:
-    """Return the readers of a key; a change of a host drops what it may affect."""
+    """Return the readers of a key, cached until a host change may affect them."""
     state = board.membership
     if key not in state.readers:
         names = rank_hosts(board, key, READERS) or [board.identity.host]
@@ -307,18 +307,18 @@
 
 
 def rank_hosts(board, key: str, count: int) -> list[str]:
-    """Return the live hosts that are lowest in the rendezvous order of a key.
+    """Return the live hosts with the lowest rendezvous scores for a key.
 
-    The cost is linear in the number of hosts, 6 ms at the target size.
+    The cost is linear in the number of hosts: 6 ms at the target size.
 
     Parameters
     ----------
     board : blackboard.Blackboard
         State of the node.
     key : str
-        The key.
+        Key that the hosts are ranked for.
     count : int
-        Number of hosts.
+        Maximum number of hosts to return.
     """
     live = (records.HostState.ALIVE, records.HostState.SUSPECT)
     candidates = [
--- a/hyssopshelf/membership/protocol.py
+++ b/hyssopshelf/membership/protocol.py
@@ -1,4 +1,4 @@
-"""State of the failure detection and the messages of membership."""
+"""State of failure detection and the membership messages."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 
 @attrs.define(kw_only=True)
 class Probe:
-    """A probe that waits for its acknowledgement."""
+    """A sent probe whose acknowledgement is pending."""
 
     target: str
     sequence: int
@@ -19,7 +19,7 @@
 
 @attrs.define(kw_only=True)
 class Relay:
-    """A probe on behalf of another host."""
+    """A probe sent on behalf of another host, which gets the acknowledgement."""
 
     origin: str
     sequence: int
@@ -28,7 +28,7 @@
 
 @attrs.frozen(kw_only=True)
 class Readers:
-    """The readers of a key and the score of the last one."""
+    """The hosts that read a key, and the highest of their rendezvous scores."""
 
     names: frozenset[str]
     highest_score: int
@@ -36,34 +36,38 @@
 
 @attrs.define(kw_only=True)
 class Membership:
-    """State of the failure detection.
+    """State of failure detection at this node.
 
     Attributes
     ----------
     seeds : tuple of str
-        Addresses from the settings to join through.
+        Addresses from the settings through which the node joins.
     version : int
-        Raised when the set of usable hosts or what they moved changes.
-    touched : set of str
-        Hosts concerned by such changes that placement has not seen yet.
+        Incremented when the set of usable hosts or their moved endpoints change.
+    changed_hosts : set of str
+        Hosts with such changes that placement has not processed yet.
     peers : int
         Number of other hosts that are not dead.
-    heard_at : float or None
-        Time of the last message of another host; None before the first step.
+    last_message_at : float or None
+        Time of the last message from another host; None before the first step.
     isolated_at : float or None
-        Time since which the node takes itself to be cut off.
-    list_leaving : bool
-        Whether the host list says that this host is leaving.
+        Time at which the node detected its isolation, None if not isolated.
+    listed_leaving : bool
+        Whether the host list marks this host as leaving.
     listed, listed_at
-        Names in the last host list and the time of its reading.
+        Host names in the last host list, and the time at which it was read.
     candidates : dict of str to str
-        Addresses of listed hosts that are not known, by name.
+        Addresses of listed hosts that the node does not know yet, by name.
     suspects, dead, held : dict of str to float
-        Hosts by the time at which their suspicion ends, at which they are
-        forgotten, and from which they are usable again.
+        For each such host, the time at which its suspicion expires, its record
+        is deleted, or it becomes usable again.
     regions : dict of str to str
-        Regions of all places that any node remembers, so that all nodes choose
-        alike for a place whose hosts are gone.
+        Region of each place that any node knows of, so that all nodes choose the
+        same substitute for a place without hosts.
+    priority_targets : list of str
+        Hosts to probe ahead of their turn, last one first.
+    conflicting : dict of str to None
+        Hosts that are dead here and live at another node.
     """
 
     seeds: tuple[str, ...] = ()
@@ -102,7 +106,7 @@
 @messages.register("membership.probe")
 @attrs.frozen(kw_only=True)
 class ProbeHost:
-    """Ask a host for an acknowledgement; sequence 0 is not tracked."""
+    """Asks a host for an acknowledgement; sequence 0 is not tracked."""
 
     sequence: int
     sender: gossip.Row
@@ -113,7 +117,7 @@
 @messages.register("membership.acknowledge")
 @attrs.frozen(kw_only=True)
 class Acknowledge:
-    """Answer a probe."""
+    """Answers a probe."""
 
     sequence: int
     sender: gossip.Row
@@ -124,7 +128,7 @@
 @messages.register("membership.relay")
 @attrs.frozen(kw_only=True)
 class RelayProbe:
-    """Ask a host to probe another one and to pass on its answer."""
+    """Asks a host to probe the target and to relay the acknowledgement."""
 
     sequence: int
     target: str
@@ -135,7 +139,7 @@
 @messages.register("membership.news")
 @attrs.frozen(kw_only=True)
 class News:
-    """Changes that are sent without waiting for the next probe."""
+    """Carries changes without waiting for the next probe."""
 
     sender: gossip.Row
     rows: tuple[gossip.Row, ...]
@@ -144,7 +148,7 @@
 @messages.register("membership.join")
 @attrs.frozen(kw_only=True)
 class Join:
-    """Ask for all hosts that the receiver knows."""
+    """Asks for all hosts that the receiver knows."""
 
     sender: gossip.Row
 
@@ -152,7 +156,7 @@
 @messages.register("membership.pull")
 @attrs.frozen(kw_only=True)
 class PullBuckets:
-    """Ask for the hosts in some buckets."""
+    """Asks for the hosts in the given digest buckets."""
 
     sender: gossip.Row
     buckets: tuple[int, ...]
@@ -161,7 +165,7 @@
 @messages.register("membership.table")
 @attrs.frozen(kw_only=True)
 class Table:
-    """The hosts in some buckets that the sender does not take for dead."""
+    """Lists the hosts in the given buckets that the sender does not consider dead."""
 
     sender: gossip.Row
     buckets: tuple[int, ...]
@@ -172,7 +176,7 @@
 @messages.register("membership.leaving")
 @attrs.frozen(kw_only=True)
 class LeavingNotice:
-    """Tell a host what the host list says about it."""
+    """Tells a host whether the host list marks it as leaving."""
 
     sender: gossip.Row
     leaving: bool
--- a/hyssopshelf/membership/records.py
+++ b/hyssopshelf/membership/records.py
@@ -1,4 +1,4 @@
-"""Records of the hosts of the fleet."""
+"""Host records: the state, location and failure history of each host."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class HostState(enum.Enum):
-    """What this node believes of a host."""
+    """State of a host in the view of this node."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -16,26 +16,27 @@
 
 @attrs.define(kw_only=True)
 class HostRecord:
-    """A host as this node sees it.
+    """View of a host at this node.
 
     Attributes
     ----------
     incarnation : int
-        Larger at each start of the host's node.
+        Number that grows with each start of the host's node.
     refutation : int
-        Raised by the host itself when it announces a new state within an
-        incarnation, so that newer news about it win.
+        Incremented by the host itself when it announces a new state within an
+        incarnation, so that the announcement overrides older rows.
     leaving : bool
-        Whether the host last announced that it is leaving; it also holds while
-        the host is suspected.
+        Whether the host last announced that it is leaving; kept while the host
+        is suspected.
     moved : tuple of str
-        Ids of endpoints that the host gave to their next choice.
+        Ids of endpoints that the host moved to the next host in their ranking.
     failed_at : float
-        Time of the last failure, for the detection of flapping.
+        Time of the last failure, used to detect flapping.
     flaps : int
-        Failures that each followed the one before within the flap window.
+        Number of consecutive failures that each followed the previous one within
+        the flap window.
     usable_from : float
-        The host gets no placement before this time.
+        Time before which the host gets no placements.
     """
 
     name: str
@@ -53,7 +54,7 @@
 
 
 def is_usable(record: HostRecord, now: float) -> bool:
-    """Return whether a host may get new placements.
+    """Return whether a host may be assigned endpoints.
 
     A suspected host keeps its placements until it is dead, because most
     suspicions under message loss are refuted.
--- a/hyssopshelf/membership/rendezvous.py
+++ b/hyssopshelf/membership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: scores of hosts for a key that all nodes agree on.
+"""Rendezvous hashing: rank hosts for a key identically on all nodes.
 
 References
 ----------
@@ -18,20 +18,20 @@
 _SECOND_MULTIPLIER = 0x94D049BB133111EB
 
 HASH_CACHE_SIZE = 65_536
-"""Seeds in the cache; the target size has 26,400 endpoints and 5,100 hosts."""
+"""Cached hashes; the target size has 26,400 endpoints and 5,100 hosts."""
 
 
 @functools.lru_cache(maxsize=HASH_CACHE_SIZE)
 def hash_text(text: str) -> int:
-    """Return a 64-bit number that depends on a text only.
+    """Return a 64-bit hash of a text that is the same in all processes.
 
-    Python's own hash of a text differs between processes.
+    Python's built-in hash of strings is randomized per process.
     """
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def mix(first: int, second: int) -> int:
-    """Return a 64-bit score of two seeds."""
+    """Combine two hashes into a 64-bit score."""
     value = ((first ^ second) * _FIRST_MULTIPLIER) & MASK
     return ((value ^ (value >> 29)) * _SECOND_MULTIPLIER) & MASK
 
@@ -42,16 +42,16 @@
     Parameters
     ----------
     key : int
-        Seed of the key.
-    seeds : iterable of (int, str)
-        Seeds and names of the candidates.
+        Hash of the key.
+    candidates : iterable of (int, str)
+        Hash and name of each candidate.
     count : int
         Number of names to return.
     """
     names = []
     scores = []
     for name_hash, name in candidates:
-        # The function mix is written out: this loop is the cost of placement.
+        # mix() is inlined, because this loop dominates the cost of placement.
         value = ((key ^ name_hash) * _FIRST_MULTIPLIER) & MASK
         scores.append(((value ^ (value >> 29)) * _SECOND_MULTIPLIER) & MASK)
         names.append(name)
