--- a/hyssopshelf/membership/placement.py
+++ b/hyssopshelf/membership/placement.py
@@ -1,9 +1,9 @@
-"""Which host serves which endpoint.
+"""Assign each endpoint to the host that serves it.
 
-A rendezvous hash among the usable hosts of the endpoint's place, with a bound
-on the endpoints of one host. Each node computes the same result from the same
-hosts and endpoints. The first choices of each endpoint are kept, so that a
-change of one host costs one score per endpoint of its place.
+Uses rendezvous hashing among the usable hosts of the endpoint's place, with a
+bound on the endpoints of one host. Each node computes the same result from the
+same hosts and endpoints. The highest-ranked hosts of each endpoint are cached, so
+that a change of one host costs one score per endpoint of its place.
 
 References
 ----------
@@ -20,50 +20,54 @@
 from hyssopshelf.membership import records, rendezvous
 
 LOAD_FACTOR = 1.25
-"""Greatest number of endpoints of a host over the mean of its place.
+"""Upper bound on the endpoints of a host, relative to the mean of its place.
 
-bench_placement compares it with no bound: a lower factor balances better and
-moves more endpoints when a host comes or goes.
+A lower factor balances better and moves more endpoints when a host joins or
+fails; bench_placement compares it with no bound.
 """
 
 CHOICES = 6
-"""Hosts that are kept for each endpoint, in the order of their scores."""
+"""Number of hosts cached for each endpoint, in the order of their scores."""
 
 MINIMUM_CHOICES = 3
-"""With fewer choices left after hosts went, an endpoint is ranked anew."""
+"""Number of cached hosts below which an endpoint is ranked again."""
 
 SCORES_PER_TICK = 20_000
-"""Scores that one tick computes at most, about 8 ms; the rest waits.
+"""Upper bound on the scores computed per tick, about 8 ms of processor time.
 
 At the target size a starting node ranks its own place within 2 s and all places
-within 25 s, instead of stopping for 6 s.
+within 25 s, instead of blocking for 6 s.
 """
 
 REVIEW_SECONDS = 30.0
-"""Time after which all hosts and endpoints are compared even if nothing told of
-a change. At the target size this takes 10 to 16 ms."""
+"""Interval between comparisons of all hosts and endpoints with the tables.
+
+They find changes that were not reported, and take 10 to 16 ms at the target size.
+"""
 
 
 NOT_USABLE: tuple[str, tuple[str, ...]] = ("", ())
-"""Description of a host that is not usable."""
+"""Place and moved endpoints that stand for an unusable host."""
 
 
 @attrs.define(kw_only=True)
 class PlaceTable:
-    """Hosts that serve the endpoints of a place, and the endpoints' choices.
+    """Usable hosts of a place, and the ranked hosts of its endpoints.
 
     Attributes
     ----------
     hosts : dict of str to int
-        Seeds of the usable hosts by name.
+        Hashes of the usable hosts by name.
     choices : dict of str to tuple of str
-        First hosts of each endpoint, best one first; empty until it is ranked.
+        Cached hosts of each endpoint, best one first; empty until it is ranked.
     moved : dict of str to tuple of str
-        Ids of the endpoints that a host gave to their next choice.
+        Ids of the endpoints that a host moved to the next host in their ranking.
     unranked : dict of str to None
-        Endpoints that have to be ranked.
+        Endpoints that have to be ranked, in this order.
     dirty : bool
         Whether the endpoints have to be assigned again.
+    ordered : list of str or None
+        Endpoints in the order of assignment; None if it has to be computed.
     """
 
     hosts: dict[str, int] = attrs.field(factory=dict)
@@ -76,20 +80,24 @@
 
 @attrs.define(kw_only=True)
 class PlacementState:
-    """State of placement.
+    """Inputs and results of placement at this node.
 
     Attributes
     ----------
     tables : dict of str to PlaceTable
         Tables by place, for places with usable hosts.
-    seen : dict of str to tuple of (str, tuple of str)
+    known_hosts : dict of str to tuple of (str, tuple of str)
         Place of each usable host and the endpoints that it moved.
-    pairs : dict of tuple to tuple
-        The tuples that ``homes`` holds.
-    homes : dict of str to tuple of (str, str)
+    shared_pairs : dict of tuple to tuple
+        The distinct values of ``endpoint_places``, shared to save memory.
+    endpoint_places : dict of str to tuple of (str, str)
         Declared place of each endpoint and the place that serves it.
-    served : set of str
+    served_endpoints : set of str
         Endpoints that this host serves.
+    hosts_key, endpoints_key : tuple
+        Versions and counts of the hosts and endpoints processed last.
+    reviewed_at : float
+        Time of the last comparison of all hosts and endpoints.
     """
 
     tables: dict[str, PlaceTable] = attrs.field(factory=dict)
@@ -103,17 +111,17 @@
 
 
 def compute_score(key: str, host: str) -> int:
-    """Return the score of a host for a key; all nodes compute the same."""
+    """Return the rendezvous score of a host for a key, the same on all nodes."""
     return rendezvous.mix(rendezvous.hash_text(key), rendezvous.hash_text(host))
 
 
 def make_id(endpoint: str) -> str:
-    """Return the short id under which hosts announce a moved endpoint."""
+    """Return the 32-bit id, in hexadecimal, that rows use for a moved endpoint."""
     return f"{rendezvous.hash_text(endpoint) >> 32:08x}"
 
 
 def step(board, now: float) -> None:
-    """Follow changes of hosts and endpoints."""
+    """Process changes of hosts and endpoints within the budget of one tick."""
     state = board.placement_state
     if now - state.reviewed_at >= REVIEW_SECONDS:
         _refresh(board, now)
@@ -123,13 +131,13 @@
 
 
 def assign_all(board, now: float) -> None:
-    """Place all endpoints at once, whatever it costs."""
+    """Place all endpoints at once, without a budget."""
     _refresh(board, now)
     _rank_and_assign(board, None)
 
 
 def locate(board, endpoint: str, now: float) -> str:
-    """Return the serving host of an endpoint, empty if there is none.
+    """Return the host that serves an endpoint, or an empty string if none does.
 
     Parameters
     ----------
@@ -150,7 +158,7 @@
     host = board.placement.get(endpoint, "")
     if host:
         return host
-    # Until the endpoints of the place are ranked, the best host serves.
+    # Until the endpoints of the place are assigned, the best host serves.
     place = state.endpoint_places.get(endpoint, ("", ""))[1]
     table = state.tables.get(place)
     if table is None:
@@ -159,7 +167,7 @@
 
 
 def find_next(board, endpoint: str) -> str:
-    """Return the choice of an endpoint after its present host, empty if unknown."""
+    """Return the host ranked after the current one, an empty string if unknown."""
     state = board.placement_state
     table = state.tables.get(state.endpoint_places.get(endpoint, ("", ""))[1])
     host = board.placement.get(endpoint, "")
@@ -176,7 +184,7 @@
 
 
 def _refresh(board, now: float) -> None:
-    """Compare all hosts and endpoints with the tables."""
+    """Compare all hosts and endpoints with the tables and update these."""
     board.placement_state.reviewed_at = now
     changed = _update_hosts(
         board, [*board.placement_state.known_hosts, *board.hosts], now
@@ -185,11 +193,11 @@
 
 
 def _apply_changes(board, now: float) -> None:
-    """Follow the hosts that changed and, if the pools did, the endpoints."""
+    """Process changed hosts and, if the configuration changed, the endpoints."""
     state, membership = board.placement_state, board.membership
     changed = False
     if state.hosts_key != _make_hosts_key(board):
-        # Hosts that came or went without a version are found by comparison.
+        # Hosts added or removed without a new version are found by comparison.
         count_changed = len(board.hosts) != state.hosts_key[1]
         names = (
             [*state.known_hosts, *board.hosts]
@@ -202,7 +210,7 @@
 
 
 def _update_hosts(board, names: list[str], now: float) -> bool:
-    """Bring the tables in line with some hosts.
+    """Update the tables for the given hosts.
 
     Returns
     -------
@@ -234,7 +242,7 @@
 
 
 def _describe_host(board, name: str, now: float) -> tuple[str, tuple[str, ...]]:
-    """Return the place that a host serves and the endpoints that it moved."""
+    """Return the place and moved endpoints of a host, NOT_USABLE if it is unusable."""
     record = board.hosts.get(name)
     if record is None:
         return NOT_USABLE
@@ -259,7 +267,7 @@
 
 
 def _update_table(table: PlaceTable, added: set[str], removed: set[str]) -> None:
-    """Take hosts out of a table and into it."""
+    """Add hosts to a table, remove others, and update the cached choices."""
     for name in removed:
         table.hosts.pop(name, None)
     for name in added:
@@ -281,10 +289,10 @@
 
 
 def _insert_hosts(table: PlaceTable, endpoint: str, choices: tuple, added) -> tuple:
-    """Return the choices with new hosts that score better than the last one.
+    """Return the choices with the added hosts that rank before the last choice.
 
-    A host that scores worse is added only if the choices were all hosts of the
-    place; otherwise hosts that are not kept may lie between.
+    A host that ranks after it is added only if the choices contained all other
+    hosts of the place; otherwise uncached hosts may rank between the two.
     """
     key, hosts = rendezvous.hash_text(endpoint), table.hosts
     last = rendezvous.mix(key, hosts[choices[-1]])
@@ -297,7 +305,7 @@
 
 
 def _update_endpoints(board, *, compare_all: bool) -> None:
-    """Give new and changed endpoints to the place that serves them."""
+    """Enter new and changed endpoints in the table of the place that serves them."""
     state = board.placement_state
     state.endpoints_key = _make_endpoints_key(board)
     for name in [name for name in state.endpoint_places if name not in board.endpoints]:
@@ -313,10 +321,11 @@
             continue
         _remove(state, name)
         pair = (record.place, place)
-        # One tuple for all endpoints of a place saves 1.5 MB at the target size.
+        # Sharing one tuple among the endpoints of a place saves 1.5 MB at the
+        # target size.
         state.endpoint_places[name] = state.shared_pairs.setdefault(pair, pair)
         if not place:
-            # No host is usable anywhere; the endpoint keeps its last one.
+            # No host is usable anywhere; the endpoint keeps its previous host.
             continue
         table = state.tables[place]
         table.choices[name] = ()
@@ -340,9 +349,9 @@
 def _choose_place(board, endpoint: str, place: str) -> str:
     """Return the place that serves an endpoint.
 
-    Its own place if that has usable hosts, otherwise one of the same region,
-    otherwise any. The choice of another place differs between endpoints, so
-    that their load spreads.
+    This is its own place if that has usable hosts, otherwise a place of the same
+    region, otherwise any place. The substitute differs between endpoints, so that
+    their load is distributed.
     """
     tables, regions = board.placement_state.tables, board.membership.regions
     if place in tables or not tables:
@@ -363,9 +372,9 @@
 
 
 def _rank_and_assign(board, budget: int | None) -> None:
-    """Rank endpoints within a budget of scores; assign places that are ranked.
+    """Rank endpoints within a budget of scores; assign fully ranked places.
 
-    The node's own place comes first, because the node serves endpoints of it.
+    The node's own place comes first, because the node serves its endpoints.
     """
     tables = board.placement_state.tables
     dirty = [place for place, table in tables.items() if table.dirty or table.unranked]
@@ -380,7 +389,7 @@
 
 
 def _assign_place(board, place: str, table: PlaceTable) -> None:
-    """Place the endpoints of a table and log what changed."""
+    """Assign the endpoints of a place to hosts and log the changes."""
     if table.ordered is None:
         table.ordered = sorted(table.choices, key=rendezvous.hash_text)
     changed = 0
@@ -417,15 +426,15 @@
 
 
 def compute_bound(endpoints: int, hosts: int) -> int:
-    """Return the greatest number of endpoints that the hash gives to a host."""
+    """Return the maximum number of endpoints that hashing assigns to one host."""
     return max(1, math.ceil(LOAD_FACTOR * endpoints / hosts))
 
 
 def choose_hosts(table: PlaceTable):
     """Yield each endpoint of a table with its host and the reason.
 
-    The endpoints choose in the order of their seeds. If all kept choices of an
-    endpoint are full, it goes to the one with the fewest endpoints.
+    Endpoints are assigned in the order of their hashes. If all choices of an
+    endpoint are full, it goes to the choice with the fewest endpoints.
     """
     bound = compute_bound(len(table.choices), len(table.hosts))
     counts = dict.fromkeys(table.hosts, 0)
@@ -441,7 +450,7 @@
 
 
 def _select(table: PlaceTable, endpoint: str, counts: dict, bound: int) -> str:
-    """Return the first choice of an endpoint that is not full."""
+    """Return the first choice of an endpoint below the bound, else the emptiest."""
     for host in table.choices[endpoint]:
         if counts[host] < bound:
             return host
@@ -451,9 +460,9 @@
 
 
 def _complete_choices(table: PlaceTable, endpoint: str) -> tuple[str, ...]:
-    """Return all choices that are kept for an endpoint, ranked anew if some went.
+    """Return the choices of an endpoint, ranked again if some were removed.
 
-    Results must not depend on which hosts went and came before.
+    Results must not depend on earlier failures and returns of hosts.
     """
     choices = table.choices[endpoint]
     if len(choices) < min(CHOICES, len(table.hosts)):
@@ -462,7 +471,7 @@
 
 
 def _choose_next(table: PlaceTable, endpoint: str, host: str) -> str:
-    """Return the choice after a host, or the host if there is no other one."""
+    """Return the choice after a host, or the host itself if it is the only one."""
     choices = table.choices[endpoint]
     if choices[-1] == host:
         choices = _complete_choices(table, endpoint)
@@ -470,5 +479,5 @@
 
 
 def get_next(choices: tuple[str, ...], host: str) -> str:
-    """Return the choice after a host; the last one is followed by the first."""
+    """Return the choice after a host; the first one follows the last."""
     return choices[(choices.index(host) + 1) % len(choices)]
--- a/hyssopshelf/membership/tables.py
+++ b/hyssopshelf/membership/tables.py
@@ -1,29 +1,35 @@
-"""Exchange of whole tables of hosts: joining, repair and the platform's list."""
+"""Exchange of host tables: joins, repair by digests and the platform's host list."""
 
 from hyssopshelf import base, logs
 from hyssopshelf.membership import exchange, gossip, protocol, records, transitions
 
 DEAD_PROBE_PERIOD_SECONDS = 5.0
-"""Time between two attempts to reach a dead host, so that the two sides of a
-partition find each other after it heals."""
+"""Interval between probes of a dead host.
+
+They let the two sides of a partition find each other after it heals.
+"""
 
 MAXIMUM_UNTRACKED_PROBES = 3
-"""Untracked probes that a node sends at most in one probe period."""
+"""Upper bound on the untracked probes that a node sends in a probe period."""
 
 PULL_PERIOD_SECONDS = 5.0
-"""Least time between two pulls of buckets."""
+"""Minimum interval between two pulls of buckets."""
 
 MISMATCHES_BEFORE_PULL = 10
-"""Digests in a row that differ in a bucket before it is pulled; changes that
-are still spreading cause shorter runs."""
+"""Consecutive comparisons in which a bucket must differ before it is pulled.
+
+Changes that are still spreading cause shorter runs.
+"""
 
 MAXIMUM_PULLED_ROWS = 400
-"""Rows that a pull asks for at most, with one bucket as the least amount; 28 KB
-every 5 s at the target size."""
+"""Upper bound on the rows that a pull requests, but at least one bucket.
+
+This amounts to 28 KB every 5 s at the target size.
+"""
 
 
 def probe_dead_hosts(board, now: float) -> None:
-    """Probe dead hosts that may be back, without waiting for an answer."""
+    """Probe dead hosts that may have returned, without tracking the answers."""
     state = board.membership
     names = list(state.conflicting)[:MAXIMUM_UNTRACKED_PROBES]
     for name in names:
@@ -37,7 +43,7 @@
 
 
 def join(board) -> None:
-    """Ask one random host of the list or the settings for the hosts."""
+    """Request the host table from a random listed, configured or dead host."""
     state = board.membership
     own = board.identity.address
     addresses = {*state.seeds, *state.candidates.values()}
@@ -53,14 +59,14 @@
 
 @base.receive.register
 def receive_join(message: protocol.Join, board, host: str, now: float) -> None:
-    """Answer a host that joins with all hosts."""
+    """Answer a joining host with the whole host table."""
     exchange.apply_message(board, message, host, now)
     _send_table(board, host, tuple(range(gossip.BUCKETS)))
 
 
 @base.receive.register
 def receive_pull(message: protocol.PullBuckets, board, host: str, now: float) -> None:
-    """Answer with the hosts in the buckets that the sender asks for."""
+    """Answer with the hosts in the requested buckets."""
     exchange.apply_message(board, message, host, now)
     _send_table(board, host, message.buckets)
 
@@ -83,14 +89,14 @@
 
 @base.receive.register
 def receive_table(message: protocol.Table, board, host: str, now: float) -> None:
-    """Apply a table and check the hosts on which it differs.
+    """Apply a host table and check the hosts on which the two nodes differ.
 
-    A host that is dead here and live there is contacted, so that it refutes its
-    death itself. A host that is missing there is probed next.
+    A host that is dead here and live at the sender is probed, so that it refutes
+    its death itself. A host that is missing at the sender is probed next.
 
-    A node that joins does not spread what it learns from its first table, which
-    is no news: at the target size it would send 5,100 rows 39 times each, about
-    2 KB/s for 50 minutes.
+    A joining node does not spread the rows of its first table, which the other
+    nodes already know: at the target size it would send 5,100 rows 39 times
+    each, about 2 KB/s for 50 minutes.
     """
     state = board.membership
     state.regions = message.regions | state.regions
@@ -114,13 +120,13 @@
 def receive_notice(
     message: protocol.LeavingNotice, board, host: str, now: float
 ) -> None:
-    """Announce what the host list says about this host."""
+    """Adopt the leaving mark of the host list; the next step announces it."""
     exchange.apply_message(board, message, host, now)
     board.membership.listed_leaving = message.leaving
 
 
 def compare_digests(board, host: str, packed: bytes, now: float) -> None:
-    """Pull the buckets that have differed for long from the other node."""
+    """Pull the buckets whose digests have differed in many comparisons in a row."""
     state = board.membership
     different = set(state.digests.list_differences(packed))
     for bucket in range(gossip.BUCKETS):
@@ -146,11 +152,11 @@
 
 @base.handle.register
 def handle_host_list(event: base.HostListReceived, board, now: float) -> None:
-    """Compare the platform's list with the hosts that this node knows.
+    """Compare the platform's host list with the hosts that this node knows.
 
-    The list lags, so that it never makes a host dead or live by itself: an
-    unknown host is probed, and a host that is marked as leaving is told so and
-    announces it.
+    The list lags, so it never makes a host dead or live by itself: unknown hosts
+    are probed, and a host whose leaving mark differs is notified and announces
+    the change itself.
     """
     state = board.membership
     transitions.initialize(board, now)
--- a/hyssopshelf/membership/transitions.py
+++ b/hyssopshelf/membership/transitions.py
@@ -1,42 +1,42 @@
-"""Changes of what this node believes of a host.
+"""State transitions of the hosts in the host table of this node.
 
-All changes of the table of hosts go through this module, which keeps the
-digests, the rows to send and the counters in step with it.
+All changes of the table go through this module, which keeps the digests, the
+queue of rows to send and the counters consistent with it.
 """
 
 from hyssopshelf import logs
 from hyssopshelf.membership import gossip, records, rendezvous
 
 SUSPICION_SECONDS = 2.0
-"""Time in which a host that this node suspects itself can refute, in seconds."""
+"""Time to refute a suspicion that this node raised itself, in seconds."""
 
 REPORTED_SUSPICION_SECONDS = 4.0
-"""The same for a suspicion heard from another host.
+"""Time to refute a suspicion reported by another host, in seconds.
 
-That host declares the death in the usual case. The longer time lets a
-refutation, which starts later than the suspicion, arrive first: with 5% loss
-and 400 nodes it reduced false deaths from 12 to 0 in the same trial.
+Usually the reporting host declares the death. The longer time lets a refutation,
+which starts later than the suspicion, arrive first: with 5% message loss and 400
+nodes it reduced false deaths from 12 to 0 in the same trial.
 """
 
 FORGET_SECONDS = 600.0
 """Time for which the record of a dead host is kept.
 
-It exceeds the lag of the host list and the time of spreading, so that old news
-cannot bring the host back. With 4,100 restarts a day 28 records are kept.
+It exceeds the lag of the host list and the time that rows take to spread, so that
+stale rows cannot revive the host. With 4,100 restarts a day, 28 records are kept.
 """
 
 STABLE_SECONDS = 5.0
-"""Time for which a host that flapped once must be stable before it is used."""
+"""Time that a host must be stable after its first flap before it is usable."""
 
 MAXIMUM_STABLE_SECONDS = 60.0
-"""Upper bound of that time, which doubles with each flap."""
+"""Upper bound on the stable time, which doubles with each flap."""
 
 FLAP_WINDOW_SECONDS = 300.0
-"""A failure within this time of the one before is a flap."""
+"""Time after a failure within which the next failure counts as a flap."""
 
 
 def ensure_own_record(board, now: float) -> records.HostRecord:
-    """Return the record of this host and create it at the first call."""
+    """Return the record of this host, creating it at the first call."""
     identity = board.identity
     record = board.hosts.get(identity.host)
     if record is None:
@@ -53,7 +53,7 @@
 
 
 def initialize(board, now: float) -> None:
-    """Derive digests and counters from existing records, at the first call only."""
+    """Compute digests and counters from existing records, at the first call only."""
     state = board.membership
     if state.last_message_at is not None:
         return
@@ -68,7 +68,10 @@
 
 
 def _mark_changed(board, name: str) -> None:
-    """Note that a host may have become usable or unusable, or moved endpoints."""
+    """Mark a host whose usability or moved endpoints may have changed.
+
+    Drops the cached readers of each key that this host may affect.
+    """
     state = board.membership
     state.version += 1
     state.changed_hosts.add(name)
@@ -90,7 +93,7 @@
 
 
 def _update_record(board, record: records.HostRecord, **values) -> None:
-    """Set fields of a record and keep all that is derived from it in step."""
+    """Set fields of a record and update the digests, send queue and peer count."""
     state = board.membership
     was_dead = record.state is records.HostState.DEAD
     state.digests.toggle(record)
@@ -111,7 +114,7 @@
     moved: tuple[str, ...] | None = None,
     refutation: int = 0,
 ) -> None:
-    """Spread a new state of this host that overrides older news about it.
+    """Announce a new state of this host that overrides older rows about it.
 
     Parameters
     ----------
@@ -120,11 +123,12 @@
     now : float
         Time on the node's monotonic clock, in seconds.
     leaving : bool or None
-        Whether the host leaves; None for no change.
+        Whether the host is leaving; None for no change.
     moved : tuple of str or None
-        Ids of endpoints given to their next choice; None for no change.
+        Ids of endpoints moved to the next host in their ranking; None for no
+        change.
     refutation : int
-        Number that the announcement must exceed.
+        Refutation number that the announcement must exceed.
     """
     record = ensure_own_record(board, now)
     leaving = record.leaving if leaving is None else leaving
@@ -146,7 +150,7 @@
 
 
 def apply_row(board, row: gossip.Row, now: float) -> None:
-    """Apply news about a host if it is newer than what the node knows."""
+    """Apply a row about a host if it is newer than the record of this node."""
     name, incarnation, refutation, code = row[:4]
     if name == board.identity.host:
         _refute_suspicion(board, row, now)
@@ -165,7 +169,7 @@
 
 
 def _refute_suspicion(board, row: gossip.Row, now: float) -> None:
-    """Refute suspicion or death of this host in its present incarnation."""
+    """Refute a suspicion or death of this host in its current incarnation."""
     own = ensure_own_record(board, now)
     _, incarnation, refutation, code = row[:4]
     current = incarnation == own.incarnation and refutation >= own.refutation
@@ -206,7 +210,7 @@
 
 
 def suspect(board, name: str, now: float) -> bool:
-    """Suspect a host that did not answer; return whether that is new."""
+    """Suspect a host that did not answer; return whether its state changed."""
     record = board.hosts.get(name)
     if record is None or gossip.get_state_code(record) >= gossip.SUSPECT:
         return False
@@ -249,7 +253,7 @@
 
 
 def _mark_live(board, record, row: gossip.Row, now: float) -> None:
-    """Apply the news of a host about itself."""
+    """Apply an alive or leaving row, which originates from the host itself."""
     _, incarnation, refutation, code, address, place, region, moved = row
     state = board.membership
     state.suspects.pop(record.name, None)
@@ -288,7 +292,7 @@
 
 
 def _record_return(board, record: records.HostRecord, now: float) -> None:
-    """Hold a host that flapped back until it has been stable."""
+    """Hold back a returning host that flapped until it has been stable."""
     state = board.membership
     state.dead.pop(record.name, None)
     _mark_changed(board, record.name)
@@ -301,10 +305,10 @@
 
 
 def end_suspicions(board, now: float) -> None:
-    """Declare suspects dead whose time to refute has passed.
+    """Declare suspects dead whose suspicion has expired.
 
-    A node that is cut off from all others declares only those dead that a host
-    list read since then no longer names.
+    An isolated node declares only those suspects dead that are missing from a
+    host list read since its isolation began.
     """
     state = board.membership
     ended = [name for name, end in state.suspects.items() if end <= now]
@@ -318,7 +322,7 @@
 
 
 def end_holds(board, now: float) -> None:
-    """Use hosts again that have been stable for long enough."""
+    """Make held hosts usable again whose stable time has passed."""
     state = board.membership
     for name in [name for name, end in state.held.items() if end <= now]:
         del state.held[name]
@@ -326,7 +330,7 @@
 
 
 def forget_dead(board, now: float) -> None:
-    """Drop the records of hosts that have been dead for long."""
+    """Delete the records of hosts that died ``FORGET_SECONDS`` ago or earlier."""
     state = board.membership
     while state.dead:
         name, forget_at = next(iter(state.dead.items()))
