--- a/hyssopshelf/membership/tests/test_balancing.py
+++ b/hyssopshelf/membership/tests/test_balancing.py
@@ -1,4 +1,4 @@
-"""Tests of the moves of hot endpoints, over a fleet in one process."""
+"""Tests of load balancing by endpoint moves, with a fleet in one process."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 def serve(fleet, rates, seconds):
-    """Count the statements of each endpoint where it is placed."""
+    """Record statements, ``rates`` per second, at the host of each endpoint."""
     for _ in range(round(seconds)):
         for endpoint, rate in rates.items():
             board = fleet.members["h0000"].board
@@ -36,7 +36,7 @@
 
 
 def test_busy_host_gives_an_endpoint_away_and_takes_it_back():
-    """Guards against hot endpoints that share a host while others are idle."""
+    """Guards against hot endpoints that share a host while other hosts are idle."""
     fleet = start_fleet()
     before = dict(get_placements(fleet)[0])
     busy = max(before.values(), key=list(before.values()).count)
@@ -51,7 +51,7 @@
 
 
 def test_single_hot_endpoint_stays():
-    """Guards against an endpoint that wanders without any gain."""
+    """Guards against moves of an endpoint that overloads any host alone."""
     fleet = start_fleet()
     before = dict(get_placements(fleet)[0])
     serve(fleet, {"pool/d/e0": 2000}, 60)
@@ -69,7 +69,7 @@
     ],
 )
 def test_smallest_sufficient_endpoint_is_given(loads, load, chosen):
-    """Guards against moves that are too small or larger than needed."""
+    """Guards against moves that shift too little load or more than needed."""
     assert balancing.choose_endpoint(loads, load) == chosen
 
 
@@ -78,5 +78,5 @@
     [(0.2, 0.2, 0.7, True), (0.5, 0.2, 0.7, False), (0.0, 0.7, 0.7, False)],
 )
 def test_move_must_lower_the_greater_load(own, load, sender, accepted):
-    """Guards against endpoints that go back and forth between two hosts."""
+    """Guards against endpoints that oscillate between two hosts."""
     assert balancing.accepts(own, load, sender) == accepted
--- a/hyssopshelf/membership/tests/test_hosts.py
+++ b/hyssopshelf/membership/tests/test_hosts.py
@@ -10,7 +10,7 @@
 from hyssopshelf.membership import gossip, hosts, protocol, records, transitions
 
 DETECTION_SECONDS = 12.0
-"""A probe order of 8 hosts, silence, suspicion and spreading, with a reserve."""
+"""Time for a probe round of 8 hosts, timeouts, suspicion and spreading, with slack."""
 
 
 def get_live(member):
@@ -36,7 +36,7 @@
 
 
 def test_crashed_host_is_dead_everywhere_and_forgotten():
-    """Guards against work sent to dead hosts and tables that grow forever."""
+    """Guards against work sent to dead hosts and tables that grow without bound."""
     fleet = start_fleet()
     fleet.stop("h0001")
     fleet.run(DETECTION_SECONDS)
@@ -50,7 +50,7 @@
 
 
 def test_host_that_takes_no_messages_is_probed_out_of_turn():
-    """Guards against seconds lost until the turn of a crashed host."""
+    """Guards against waiting for the regular turn of a crashed host."""
     fleet = start_fleet(40)
     fleet.stop("h0001")
     observer = fleet.members["h0000"]
@@ -61,14 +61,14 @@
     assert observer.board.membership.last_probe_at > seen
     state = get_record(fleet, "h0000", "h0001").state
     assert state is records.HostState.SUSPECT
-    # Live hosts that are doubted only answer.
+    # A live host that is probed ahead of its turn only acknowledges.
     hosts.request_probe(observer.board, "h0002", fleet.now)
     fleet.run(1.0)
     assert get_record(fleet, "h0000", "h0002").state is records.HostState.ALIVE
 
 
 def test_leaving_host_is_announced_without_suspicion():
-    """Guards against new placements on a host that drains."""
+    """Guards against endpoints assigned to a draining host."""
     fleet = start_fleet()
     fleet.members["h0001"].board.draining = True
     fleet.run(2.0)
@@ -79,7 +79,7 @@
 
 
 def test_leaving_mark_of_the_list_reaches_all_hosts_and_can_be_taken_back():
-    """Guards against a host that stays unused after a lagging leaving mark."""
+    """Guards against a host that stays unused after a stale leaving mark."""
     fleet = start_fleet()
     entries = fleets.make_entries(8, 1)
     marked = tuple(
@@ -101,7 +101,7 @@
 
 
 def test_restarted_host_is_used_at_once_and_a_flapping_one_later():
-    """Guards against endpoints that move back and forth with a flapping host."""
+    """Guards against endpoints that oscillate because a host flaps."""
     fleet = start_fleet()
     held = []
     for incarnation in range(2, 8):
@@ -120,7 +120,7 @@
 
 
 def test_paused_host_declares_nobody_dead():
-    """Guards against a resumed node that takes over the whole fleet."""
+    """Guards against a node that resumes, sees only silence and takes over all work."""
     fleet = start_fleet()
     fleet.pause("h0001", 30.0)
     fleet.run(45.0)
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("count", [3, 8])
 def test_isolated_host_declares_nobody_dead(count):
-    """Guards against a node without network that takes over all endpoints."""
+    """Guards against an isolated node that takes over all endpoints."""
     fleet = start_fleet(count)
     fleet.connected = lambda sender, receiver: "h0001" not in (sender, receiver)
     fleet.run(60.0)
@@ -148,7 +148,7 @@
 
 
 def test_isolated_host_believes_the_list_that_hosts_are_gone():
-    """Guards against the last host of a fleet that never takes over."""
+    """Guards against the last live host of a fleet never taking over."""
     fleet = start_fleet(3)
     fleet.stop("h0000")
     fleet.stop("h0002")
@@ -162,7 +162,7 @@
 
 
 def test_one_of_two_hosts_takes_the_other_for_dead():
-    """Guards against a pair that never fails over."""
+    """Guards against a pair of hosts in which neither takes over for the other."""
     fleet = start_fleet(2)
     fleet.stop("h0000")
     fleet.run(DETECTION_SECONDS)
@@ -170,7 +170,7 @@
 
 
 def test_two_sides_of_a_partition_find_each_other():
-    """Guards against two fleets that stay apart after a partition."""
+    """Guards against two sides that stay separate after a partition heals."""
     fleet = start_fleet(12)
     fleet.connected = lambda sender, receiver: (sender < "h0004") == (
         receiver < "h0004"
@@ -186,7 +186,7 @@
 
 @pytest.mark.parametrize("through_list", [True, False])
 def test_new_host_joins(through_list):
-    """Guards against a new node that knows nobody or that nobody knows."""
+    """Guards against a new node that does not learn the hosts, or they not of it."""
     fleet = start_fleet()
     seeds = () if through_list else ("h0002:7100",)
     fleet.members["h0002"].board.membership.regions["lost"] = "r9"
@@ -202,7 +202,7 @@
 
 
 def test_listed_host_that_does_not_answer_is_not_live():
-    """Guards against a lagging list that brings a dead host back."""
+    """Guards against a stale host list that revives a dead host."""
     fleet = start_fleet()
     rows = (*fleets.make_entries(8, 1), attrs_entry("gone"))
     fleet.handle(fleet.members["h0000"], base.HostListReceived(hosts=rows))
@@ -215,7 +215,7 @@
 
 
 def test_three_hosts_read_a_key():
-    """Guards against a key that nobody reads or that all nodes read."""
+    """Guards against a key that no node reads or that all nodes read."""
     fleet = start_fleet()
     for key in ("hosts", "configuration"):
         readers = [m for m in fleet.members.values() if hosts.is_reader(m.board, key)]
@@ -227,7 +227,7 @@
 
 
 def test_lost_news_is_repaired_by_digests():
-    """Guards against a node that missed a change and never learns of it."""
+    """Guards against a node that misses a change and never learns of it."""
     fleet = start_fleet()
     board = fleet.members["h0001"].board
     record = board.hosts["h0005"]
@@ -238,7 +238,7 @@
         n for n in board.membership.probe_order if n != "h0005"
     ]
     fleet.connected = lambda sender, receiver: "h0005" not in (sender, receiver)
-    # h0005 itself reaches h0001 sooner or later; only the others may tell of it.
+    # h0005 would reach h0001 itself in the end; only other hosts may report it.
     fleet.run(2.0)
     fleet.connected = lambda s, r: {s, r} != {"h0001", "h0005"}
     fleet.run(15.0)
@@ -246,7 +246,7 @@
 
 
 def test_changes_are_sent_a_bounded_number_of_times():
-    """Guards against traffic that stays high after a change has spread."""
+    """Guards against message traffic that stays high after a change has spread."""
     fleet = start_fleet()
     fleet.members["h0001"].board.draining = True
     fleet.run(20.0)
@@ -257,7 +257,7 @@
 
 
 def test_waiting_rows_are_bounded(monkeypatch):
-    """Guards against a healed partition that fills memory and processor."""
+    """Guards against a queue that exhausts memory and processor after a partition."""
     monkeypatch.setattr(gossip, "MAXIMUM_WAITING", 10)
     board = start_fleet(20).members["h0000"].board
     outbox = gossip.Outbox()
@@ -268,7 +268,7 @@
 
 
 def test_messages_survive_the_wire():
-    """Guards against rows that lose fields between two nodes."""
+    """Guards against fields lost when rows are encoded and decoded."""
     fleet = start_fleet(2)
     board = fleet.members["h0000"].board
     row = gossip.make_row(board.hosts["h0001"])
@@ -283,7 +283,7 @@
     derandomize=True, max_examples=15, stateful_step_count=12, deadline=None
 )
 class MembershipMachine(stateful.RuleBasedStateMachine):
-    """Fails, pauses, restarts and partitions five hosts in any order."""
+    """Crashes, pauses, restarts and partitions five hosts in any order."""
 
     def __init__(self):
         super().__init__()
@@ -326,7 +326,7 @@
 
     @stateful.invariant()
     def tables_are_consistent(self):
-        """Guards against counters and digests that drift from the table."""
+        """Guards against counters and digests that diverge from the host table."""
         for member in self.fleet.members.values():
             board, state = member.board, member.board.membership
             if state.last_message_at is None:
@@ -349,7 +349,7 @@
             assert suspects == set(state.suspects)
 
     def teardown(self):
-        """Guards against hosts that disagree for good once faults end."""
+        """Guards against hosts that still disagree long after the faults end."""
         self.fleet.connected = lambda sender, receiver: True
         self.fleet.loss = 0.0
         self.fleet.run(75.0)
--- a/hyssopshelf/membership/tests/test_placement.py
+++ b/hyssopshelf/membership/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of placement, with a state machine against a computation from scratch."""
+"""Tests of placement; a state machine compares it with a computation from scratch."""
 
 import collections
 import random
@@ -58,7 +58,7 @@
 
 
 def test_endpoints_are_served_in_their_place_within_the_bound():
-    """Guards against detours between regions and crowded hosts."""
+    """Guards against endpoints served in another region, and overloaded hosts."""
     board = make_full_board()
     for endpoint, place in get_places(board).items():
         assert place == board.endpoints[endpoint].place
@@ -71,7 +71,7 @@
     [(("p0",), {"p1"}), (("p0", "p1"), {"p2"}), (("p2",), {"p0", "p1"})],
 )
 def test_lost_place_is_served_from_its_region_and_comes_back(lost, used):
-    """Guards against endpoints without a host and against far hosts."""
+    """Guards against endpoints without a host or with one in a remote region."""
     board = make_full_board()
     before = dict(board.placement)
     names = [name for name, record in board.hosts.items() if record.place in lost]
@@ -87,7 +87,7 @@
 
 
 def test_nodes_agree_whatever_the_order_in_which_they_learn():
-    """Guards against two serving nodes for one endpoint."""
+    """Guards against two nodes that both serve one endpoint."""
     first, second = make_full_board(), make_board(host="p2h1")
     for name, record in reversed(first.endpoints.items()):
         add_endpoint(second, name, record.place)
@@ -99,7 +99,7 @@
 
 
 def test_failure_moves_few_endpoints_of_other_hosts():
-    """Guards against a failure that disturbs hosts that did not fail."""
+    """Guards against a failure that moves endpoints of many other hosts."""
     board = make_full_board(hosts_per_place=20, endpoints=300)
     before = dict(board.placement)
     set_state(board, "p0h3", "dead")
@@ -111,7 +111,7 @@
 
 
 def test_placement_does_not_depend_on_earlier_failures(monkeypatch):
-    """Guards against nodes with different histories that place differently."""
+    """Guards against placements that differ between nodes with different histories."""
     monkeypatch.setattr(placement, "LOAD_FACTOR", 1.0)
     board = make_full_board(hosts_per_place=20, endpoints=300)
     before = dict(board.placement)
@@ -123,7 +123,7 @@
 
 
 def test_unusable_hosts_get_no_endpoint():
-    """Guards against new work on hosts that leave or flap."""
+    """Guards against endpoints assigned to leaving or flapping hosts."""
     board = make_full_board()
     board.hosts["p0h1"].leaving = True
     board.hosts["p0h2"].usable_from = 50.0
@@ -136,7 +136,7 @@
 
 
 def test_placement_stays_when_no_host_is_usable():
-    """Guards against endpoints that lose their host when all hosts leave."""
+    """Guards against endpoints that lose their host when all hosts are dead."""
     board = make_full_board(hosts_per_place=1)
     before = dict(board.placement)
     for name in board.hosts:
@@ -146,7 +146,7 @@
 
 
 def test_moved_endpoint_is_served_by_its_next_choice():
-    """Guards against a move that some nodes do not follow."""
+    """Guards against nodes that ignore a move announced by a host."""
     board = make_full_board()
     endpoint, host = next(iter(board.placement.items()))
     target = placement.find_next(board, endpoint)
@@ -163,7 +163,7 @@
 
 
 def test_large_change_is_spread_over_ticks(monkeypatch):
-    """Guards against a node that stops while it ranks all endpoints."""
+    """Guards against a node that blocks while it ranks all endpoints."""
     monkeypatch.setattr(placement, "SCORES_PER_TICK", 40)
     board = make_board(host="p0h0")
     for place in PLACES:
@@ -183,7 +183,7 @@
 
 
 def test_changes_are_logged():
-    """Guards against moves of an endpoint that operators cannot see."""
+    """Guards against changed placements that are missing from the log."""
     board = make_full_board()
     board.actions.clear()
     before = dict(board.placement)
@@ -198,7 +198,7 @@
 
 
 def test_rank_returns_the_lowest_scores():
-    """Guards against a hash loop that differs from the score function."""
+    """Guards against an inlined hash loop that differs from the score function."""
     names = [f"h{number}" for number in range(50)]
     candidates = [(rendezvous.hash_text(name), name) for name in names]
     expected = sorted(names, key=lambda name: placement.compute_score("key", name))
@@ -215,7 +215,7 @@
         super().__init__()
         self.board = make_board()
         self.now = 0.0
-        # Few choices and no spare room, so that lists run short in small places.
+        # Few choices and no slack exhaust the cached choices in small places.
         self.settings = {"CHOICES": 3, "MINIMUM_CHOICES": 2, "LOAD_FACTOR": 1.0}
         self.swap_settings()
 
@@ -256,12 +256,12 @@
 
     @stateful.rule()
     def step(self):
-        """Guards against tables that drift from a computation from scratch."""
+        """Guards against tables that diverge from a computation from scratch."""
         self.now += 31.0
         placement.step(self.board, self.now)
         fresh = make_board()
         fresh.hosts, fresh.endpoints = self.board.hosts, self.board.endpoints
-        # A node that joins gets the regions of places without hosts as well.
+        # A joining node also gets the regions of places without hosts.
         fresh.membership.regions |= self.board.membership.regions
         placement.assign_all(fresh, self.now)
         if fresh.placement_state.tables:
--- a/hyssopshelf/membership/tests/test_tables.py
+++ b/hyssopshelf/membership/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""Exchange of whole tables of hosts."""
+"""Tests of the exchange of host tables."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 def list_waiting(board) -> list[str]:
-    """Return the hosts whose rows the node still spreads."""
+    """Return the hosts whose rows are queued for sending."""
     rows = board.membership.outbox.take(board.hosts, except_for="")
     return [row[0] for row in rows]
 
@@ -27,7 +27,7 @@
 
 
 def test_joining_node_spreads_only_itself():
-    """Guards against starts that repeat the whole table for minutes."""
+    """Guards against a joining node that sends the whole table on for minutes."""
     board = make_board()
     message = make_table(ROWS)
     tables.receive_table(message, board, "h1", 1.0)
@@ -36,7 +36,7 @@
 
 
 def test_repaired_rows_are_spread():
-    """Guards against a node that keeps what a later table told it to itself."""
+    """Guards against a node that does not spread the rows of a later table."""
     board = make_board()
     first = make_table(ROWS[:40])
     tables.receive_table(first, board, "h1", 1.0)
