--- a/benchmarks/bench_placement.py
+++ b/benchmarks/bench_placement.py
@@ -134,7 +134,7 @@
             endpoint = balancing.choose_endpoint(candidates, loads[host])
             if endpoint is None:
                 continue
-            target = placement.get_next(choices[endpoint], host)
+            target = placement.get_next_host(choices[endpoint], host)
             held = loads.get(target, 0.0) + accepted.get(target, 0.0)
             load = candidates[endpoint]
             if target != host and balancing.accepts(held, load, loads[host]):
--- a/hyssopshelf/membership/balancing.py
+++ b/hyssopshelf/membership/balancing.py
@@ -83,7 +83,7 @@
     accepted: bool
 
 
-def count_served(board, endpoint: str) -> None:
+def count_statement(board, endpoint: str) -> None:
     """Count a statement that this host runs on an endpoint."""
     served = board.balance.statement_counts
     served[endpoint] = served.get(endpoint, 0) + 1
@@ -121,7 +121,7 @@
     endpoint = choose_endpoint(candidates, load)
     if endpoint is None:
         return
-    host = placement.find_next(board, endpoint)
+    host = placement.find_next_host(board, endpoint)
     if host in ("", own):
         return
     offer = Offer(
@@ -160,7 +160,7 @@
 
 
 def _announce(board, endpoint: str, now: float, *, moved: bool) -> None:
-    ids = tuple(sorted(map(placement.make_id, board.balance.moved_loads)))
+    ids = tuple(sorted(map(placement.make_endpoint_id, board.balance.moved_loads)))
     transitions.announce(board, now=now, moved=ids)
     board.log(logs.LogEvent.ENDPOINT_MOVED, endpoint=endpoint, moved=moved)
 
--- a/hyssopshelf/membership/placement.py
+++ b/hyssopshelf/membership/placement.py
@@ -115,7 +115,7 @@
     return rendezvous.mix(rendezvous.hash_text(key), rendezvous.hash_text(host))
 
 
-def make_id(endpoint: str) -> str:
+def make_endpoint_id(endpoint: str) -> str:
     """Return the 32-bit id, in hexadecimal, that rows use for a moved endpoint."""
     return f"{rendezvous.hash_text(endpoint) >> 32:08x}"
 
@@ -166,7 +166,7 @@
     return (table.choices.get(endpoint) or _rank(table, endpoint))[0]
 
 
-def find_next(board, endpoint: str) -> str:
+def find_next_host(board, endpoint: str) -> str:
     """Return the host ranked after the current one, an empty string if unknown."""
     state = board.placement_state
     table = state.tables.get(state.endpoint_places.get(endpoint, ("", ""))[1])
@@ -444,7 +444,7 @@
         first = host == table.choices[endpoint][0]
         reason = "rendezvous hash" if first else "bounded load"
         moved_ids = table.moved.get(host)
-        if moved_ids is not None and make_id(endpoint) in moved_ids:
+        if moved_ids is not None and make_endpoint_id(endpoint) in moved_ids:
             host, reason = _choose_next(table, endpoint, host), "moved by its host"
         yield endpoint, host, reason
 
@@ -475,9 +475,9 @@
     choices = table.choices[endpoint]
     if choices[-1] == host:
         choices = _complete_choices(table, endpoint)
-    return get_next(choices, host)
+    return get_next_host(choices, host)
 
 
-def get_next(choices: tuple[str, ...], host: str) -> str:
+def get_next_host(choices: tuple[str, ...], host: str) -> str:
     """Return the choice after a host; the first one follows the last."""
     return choices[(choices.index(host) + 1) % len(choices)]
--- a/hyssopshelf/membership/tests/test_hosts.py
+++ b/hyssopshelf/membership/tests/test_hosts.py
@@ -204,13 +204,13 @@
 def test_listed_host_that_does_not_answer_is_not_live():
     """Guards against a stale host list that revives a dead host."""
     fleet = start_fleet()
-    rows = (*fleets.make_entries(8, 1), attrs_entry("gone"))
+    rows = (*fleets.make_entries(8, 1), make_entry("gone"))
     fleet.handle(fleet.members["h0000"], base.HostListReceived(hosts=rows))
     fleet.run(3.0)
     assert "gone" not in fleet.members["h0000"].board.hosts
 
 
-def attrs_entry(name):
+def make_entry(name):
     return platform.HostEntry(name=name, address=f"{name}:1", place="p0", region="r0")
 
 
@@ -267,7 +267,7 @@
     assert [row[0] for row in rows] == sorted(board.hosts)[10:]
 
 
-def test_messages_survive_the_wire():
+def test_messages_round_trip():
     """Guards against fields lost when rows are encoded and decoded."""
     fleet = start_fleet(2)
     board = fleet.members["h0000"].board
--- a/hyssopshelf/membership/tests/test_placement.py
+++ b/hyssopshelf/membership/tests/test_placement.py
@@ -149,8 +149,8 @@
     """Guards against nodes that ignore a move announced by a host."""
     board = make_full_board()
     endpoint, host = next(iter(board.placement.items()))
-    target = placement.find_next(board, endpoint)
-    board.hosts[host].moved = (placement.make_id(endpoint),)
+    target = placement.find_next_host(board, endpoint)
+    board.hosts[host].moved = (placement.make_endpoint_id(endpoint),)
     transitions._mark_changed(board, host)
     placement.step(board, 1.0)
     assert placement.locate(board, endpoint, 1.0) == target != host
@@ -243,7 +243,7 @@
     def move(self, number, moved):
         record = self.board.hosts.get(f"h{number}")
         if record is not None:
-            record.moved = (placement.make_id(f"pool/d/e{moved}"),)
+            record.moved = (placement.make_endpoint_id(f"pool/d/e{moved}"),)
             transitions._mark_changed(self.board, record.name)
 
     @stateful.rule(number=st.integers(0, 30), place=st.sampled_from(PLACES))
--- a/hyssopshelf/membership/tests/test_tables.py
+++ b/hyssopshelf/membership/tests/test_tables.py
@@ -11,7 +11,7 @@
 )
 
 
-def list_waiting(board) -> list[str]:
+def list_queued(board) -> list[str]:
     """Return the hosts whose rows are queued for sending."""
     rows = board.membership.outbox.take(board.hosts, except_for="")
     return [row[0] for row in rows]
@@ -32,7 +32,7 @@
     message = make_table(ROWS)
     tables.receive_table(message, board, "h1", 1.0)
     assert len(board.hosts) == 50
-    assert list_waiting(board) == ["own"]
+    assert list_queued(board) == ["own"]
 
 
 def test_repaired_rows_are_spread():
@@ -42,4 +42,4 @@
     tables.receive_table(first, board, "h1", 1.0)
     later = make_table(ROWS)
     tables.receive_table(later, board, "h1", 2.0)
-    assert set(list_waiting(board)) == {"own", *(row[0] for row in ROWS[40:])}
+    assert set(list_queued(board)) == {"own", *(row[0] for row in ROWS[40:])}
--- a/hyssopshelf/statements/entry.py
+++ b/hyssopshelf/statements/entry.py
@@ -230,7 +230,7 @@
     host = placement.locate(board, endpoint, now)
     if board.avoided_hosts.get(host, now) <= now:
         return host
-    successor = placement.find_next(board, endpoint)
+    successor = placement.find_next_host(board, endpoint)
     if not successor or board.avoided_hosts.get(successor, now) > now:
         return host
     return successor
--- a/hyssopshelf/statements/serving.py
+++ b/hyssopshelf/statements/serving.py
@@ -273,7 +273,7 @@
     invariants.check_start(served, board.endpoints.get(served.endpoint), queued, now)
     served.state = blackboard.ServedState.RUNNING
     served.sent_at = now
-    balancing.count_served(board, served.endpoint)
+    balancing.count_statement(board, served.endpoint)
     board.act(
         base.Execute(
             connection=served.connection,
