--- a/hyssopshelf/membership/tests/test_balancing.py
+++ b/hyssopshelf/membership/tests/test_balancing.py
@@ -35,7 +35,7 @@
     return [member.board.placement for member in fleet.members.values()]
 
 
-def test_busy_host_gives_an_endpoint_away_and_takes_it_back():
+def test_overloaded_host_moves_an_endpoint_and_reclaims_it():
     """Guards against hot endpoints that share a host while other hosts are idle."""
     fleet = start_fleet()
     before = dict(get_placements(fleet)[0])
@@ -68,7 +68,7 @@
         ({}, 0.9, None),
     ],
 )
-def test_smallest_sufficient_endpoint_is_given(loads, load, chosen):
+def test_smallest_sufficient_endpoint_is_moved(loads, load, chosen):
     """Guards against moves that shift too little load or more than needed."""
     assert balancing.choose_endpoint(loads, load) == chosen
 
--- a/hyssopshelf/membership/tests/test_hosts.py
+++ b/hyssopshelf/membership/tests/test_hosts.py
@@ -49,7 +49,7 @@
         assert not member.board.membership.dead
 
 
-def test_host_that_takes_no_messages_is_probed_out_of_turn():
+def test_unreachable_host_is_probed_ahead_of_its_turn():
     """Guards against waiting for the regular turn of a crashed host."""
     fleet = start_fleet(40)
     fleet.stop("h0001")
@@ -119,7 +119,7 @@
     assert not fleet.members["h0005"].board.membership.held
 
 
-def test_paused_host_declares_nobody_dead():
+def test_paused_host_declares_no_host_dead():
     """Guards against a node that resumes, sees only silence and takes over all work."""
     fleet = start_fleet()
     fleet.pause("h0001", 30.0)
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 8])
-def test_isolated_host_declares_nobody_dead(count):
+def test_isolated_host_declares_no_host_dead(count):
     """Guards against an isolated node that takes over all endpoints."""
     fleet = start_fleet(count)
     fleet.connected = lambda sender, receiver: "h0001" not in (sender, receiver)
@@ -147,7 +147,7 @@
         assert len(get_live(member)) == count
 
 
-def test_isolated_host_believes_the_list_that_hosts_are_gone():
+def test_isolated_host_declares_unlisted_hosts_dead():
     """Guards against the last live host of a fleet never taking over."""
     fleet = start_fleet(3)
     fleet.stop("h0000")
@@ -161,7 +161,7 @@
     assert get_live(survivor) == {"h0001"}
 
 
-def test_one_of_two_hosts_takes_the_other_for_dead():
+def test_one_of_two_hosts_declares_the_other_dead():
     """Guards against a pair of hosts in which neither takes over for the other."""
     fleet = start_fleet(2)
     fleet.stop("h0000")
@@ -226,7 +226,7 @@
     assert sum(hosts.is_reader(m.board, key) for m in left) == hosts.READERS
 
 
-def test_lost_news_is_repaired_by_digests():
+def test_lost_rows_are_repaired_by_digests():
     """Guards against a node that misses a change and never learns of it."""
     fleet = start_fleet()
     board = fleet.members["h0001"].board
