--- a/benchmarks/bench_placement.py
+++ b/benchmarks/bench_placement.py
@@ -92,7 +92,7 @@
     return {
         endpoint: host
         for table in board.placement_state.tables.values()
-        for endpoint, host, _ in placement.spread(table)
+        for endpoint, host, _ in placement.choose_hosts(table)
     }
 
 
@@ -134,7 +134,7 @@
             endpoint = balancing.choose_endpoint(candidates, loads[host])
             if endpoint is None:
                 continue
-            target = placement.get_next(choices[endpoint], host)
+            target = placement.get_next_host(choices[endpoint], host)
             held = loads.get(target, 0.0) + accepted.get(target, 0.0)
             load = candidates[endpoint]
             if target != host and balancing.accepts(held, load, loads[host]):
@@ -203,7 +203,7 @@
     for record in board.hosts.values():
         if scenario == "place_lost" and record.place == "p0":
             record.state = records.HostState.DEAD
-    placement.assign(board, 0.0)
+    placement.assign_all(board, 0.0)
 
 
 VARIANTS = {
--- a/hyssopshelf/membership/placement.py
+++ b/hyssopshelf/membership/placement.py
@@ -1,9 +1,9 @@
-"""Which host serves which endpoint.
+"""Assign each endpoint to the host that serves it.
 
-A rendezvous hash among the usable hosts of the endpoint's place, with a bound
-on the endpoints of one host. Each node computes the same result from the same
-hosts and endpoints. The first choices of each endpoint are kept, so that a
-change of one host costs one score per endpoint of its place.
+Uses rendezvous hashing among the usable hosts of the endpoint's place, with a
+bound on the endpoints of one host. Each node computes the same result from the
+same hosts and endpoints. The highest-ranked hosts of each endpoint are cached, so
+that a change of one host costs one score per endpoint of its place.
 
 References
 ----------
@@ -20,50 +20,54 @@
 from hyssopshelf.membership import records, rendezvous
 
 LOAD_FACTOR = 1.25
-"""Greatest number of endpoints of a host over the mean of its place.
+"""Upper bound on the endpoints of a host, relative to the mean of its place.
 
-bench_placement compares it with no bound: a lower factor balances better and
-moves more endpoints when a host comes or goes.
+A lower factor balances better and moves more endpoints when a host joins or
+fails; bench_placement compares it with no bound.
 """
 
 CHOICES = 6
-"""Hosts that are kept for each endpoint, in the order of their scores."""
+"""Number of hosts cached for each endpoint, in the order of their scores."""
 
-CHOICES_LEFT = 3
-"""With fewer choices left after hosts went, an endpoint is ranked anew."""
+MINIMUM_CHOICES = 3
+"""Number of cached hosts below which an endpoint is ranked again."""
 
 SCORES_PER_TICK = 20_000
-"""Scores that one tick computes at most, about 8 ms; the rest waits.
+"""Upper bound on the scores computed per tick, about 8 ms of processor time.
 
 At the target size a starting node ranks its own place within 2 s and all places
-within 25 s, instead of stopping for 6 s.
+within 25 s, instead of blocking for 6 s.
 """
 
 REVIEW_SECONDS = 30.0
-"""Time after which all hosts and endpoints are compared even if nothing told of
-a change. At the target size this takes 10 to 16 ms."""
+"""Interval between comparisons of all hosts and endpoints with the tables.
+
+They find changes that were not reported, and take 10 to 16 ms at the target size.
+"""
 
 
-NOWHERE: tuple[str, tuple[str, ...]] = ("", ())
-"""Description of a host that is not usable."""
+NOT_USABLE: tuple[str, tuple[str, ...]] = ("", ())
+"""Place and moved endpoints that stand for an unusable host."""
 
 
 @attrs.define(kw_only=True)
 class PlaceTable:
-    """Hosts that serve the endpoints of a place, and the endpoints' choices.
+    """Usable hosts of a place, and the ranked hosts of its endpoints.
 
     Attributes
     ----------
     hosts : dict of str to int
-        Seeds of the usable hosts by name.
+        Hashes of the usable hosts by name.
     choices : dict of str to tuple of str
-        First hosts of each endpoint, best one first; empty until it is ranked.
+        Cached hosts of each endpoint, best one first; empty until it is ranked.
     moved : dict of str to tuple of str
-        Ids of the endpoints that a host gave to their next choice.
+        Ids of the endpoints that a host moved to the next host in their ranking.
     unranked : dict of str to None
-        Endpoints that have to be ranked.
+        Endpoints that have to be ranked, in this order.
     dirty : bool
         Whether the endpoints have to be assigned again.
+    ordered : list of str or None
+        Endpoints in the order of assignment; None if it has to be computed.
     """
 
     hosts: dict[str, int] = attrs.field(factory=dict)
@@ -75,61 +79,65 @@
 
 
 @attrs.define(kw_only=True)
-class Placement:
-    """State of placement.
+class PlacementState:
+    """Inputs and results of placement at this node.
 
     Attributes
     ----------
     tables : dict of str to PlaceTable
         Tables by place, for places with usable hosts.
-    seen : dict of str to tuple of (str, tuple of str)
+    known_hosts : dict of str to tuple of (str, tuple of str)
         Place of each usable host and the endpoints that it moved.
-    pairs : dict of tuple to tuple
-        The tuples that ``homes`` holds.
-    homes : dict of str to tuple of (str, str)
+    shared_pairs : dict of tuple to tuple
+        The distinct values of ``endpoint_places``, shared to save memory.
+    endpoint_places : dict of str to tuple of (str, str)
         Declared place of each endpoint and the place that serves it.
-    served : set of str
+    served_endpoints : set of str
         Endpoints that this host serves.
+    hosts_key, endpoints_key : tuple
+        Versions and counts of the hosts and endpoints processed last.
+    reviewed_at : float
+        Time of the last comparison of all hosts and endpoints.
     """
 
     tables: dict[str, PlaceTable] = attrs.field(factory=dict)
-    seen: dict[str, tuple[str, tuple[str, ...]]] = attrs.field(factory=dict)
-    pairs: dict[tuple[str, str], tuple[str, str]] = attrs.field(factory=dict)
-    homes: dict[str, tuple[str, str]] = attrs.field(factory=dict)
-    served: set[str] = attrs.field(factory=set)
+    known_hosts: dict[str, tuple[str, tuple[str, ...]]] = attrs.field(factory=dict)
+    shared_pairs: dict[tuple[str, str], tuple[str, str]] = attrs.field(factory=dict)
+    endpoint_places: dict[str, tuple[str, str]] = attrs.field(factory=dict)
+    served_endpoints: set[str] = attrs.field(factory=set)
     hosts_key: tuple = ()
     endpoints_key: tuple = ()
     reviewed_at: float = float("-inf")
 
 
-def compute_weight(key: str, host: str) -> int:
-    """Return the score of a host for a key; all nodes compute the same."""
-    return rendezvous.mix(rendezvous.make_seed(key), rendezvous.make_seed(host))
+def compute_score(key: str, host: str) -> int:
+    """Return the rendezvous score of a host for a key, the same on all nodes."""
+    return rendezvous.mix(rendezvous.hash_text(key), rendezvous.hash_text(host))
 
 
-def make_id(endpoint: str) -> str:
-    """Return the short id under which hosts announce a moved endpoint."""
-    return f"{rendezvous.make_seed(endpoint) >> 32:08x}"
+def make_endpoint_id(endpoint: str) -> str:
+    """Return the 32-bit id, in hexadecimal, that rows use for a moved endpoint."""
+    return f"{rendezvous.hash_text(endpoint) >> 32:08x}"
 
 
 def step(board, now: float) -> None:
-    """Follow changes of hosts and endpoints."""
+    """Process changes of hosts and endpoints within the budget of one tick."""
     state = board.placement_state
     if now - state.reviewed_at >= REVIEW_SECONDS:
         _refresh(board, now)
     else:
-        _follow_changes(board, now)
-    _advance(board, SCORES_PER_TICK)
+        _apply_changes(board, now)
+    _rank_and_assign(board, SCORES_PER_TICK)
 
 
-def assign(board, now: float) -> None:
-    """Place all endpoints at once, whatever it costs."""
+def assign_all(board, now: float) -> None:
+    """Place all endpoints at once, without a budget."""
     _refresh(board, now)
-    _advance(board, None)
+    _rank_and_assign(board, None)
 
 
 def locate(board, endpoint: str, now: float) -> str:
-    """Return the serving host of an endpoint, empty if there is none.
+    """Return the host that serves an endpoint, or an empty string if none does.
 
     Parameters
     ----------
@@ -143,23 +151,25 @@
     if endpoint not in board.endpoints:
         return ""
     state = board.placement_state
-    if _make_hosts_key(board) != state.hosts_key or (endpoint not in state.homes):
+    if _make_hosts_key(board) != state.hosts_key or (
+        endpoint not in state.endpoint_places
+    ):
         step(board, now)
     host = board.placement.get(endpoint, "")
     if host:
         return host
-    # Until the endpoints of the place are ranked, the best host serves.
-    place = state.homes.get(endpoint, ("", ""))[1]
+    # Until the endpoints of the place are assigned, the best host serves.
+    place = state.endpoint_places.get(endpoint, ("", ""))[1]
     table = state.tables.get(place)
     if table is None:
         return ""
     return (table.choices.get(endpoint) or _rank(table, endpoint))[0]
 
 
-def find_next(board, endpoint: str) -> str:
-    """Return the choice of an endpoint after its present host, empty if unknown."""
+def find_next_host(board, endpoint: str) -> str:
+    """Return the host ranked after the current one, an empty string if unknown."""
     state = board.placement_state
-    table = state.tables.get(state.homes.get(endpoint, ("", ""))[1])
+    table = state.tables.get(state.endpoint_places.get(endpoint, ("", ""))[1])
     host = board.placement.get(endpoint, "")
     choices = table.choices.get(endpoint, ()) if table is not None else ()
     return _choose_next(table, endpoint, host) if host in choices else ""
@@ -174,27 +184,33 @@
 
 
 def _refresh(board, now: float) -> None:
-    """Compare all hosts and endpoints with the tables."""
+    """Compare all hosts and endpoints with the tables and update these."""
     board.placement_state.reviewed_at = now
-    changed = _follow_hosts(board, [*board.placement_state.seen, *board.hosts], now)
-    _follow_endpoints(board, everything=changed)
+    changed = _update_hosts(
+        board, [*board.placement_state.known_hosts, *board.hosts], now
+    )
+    _update_endpoints(board, compare_all=changed)
 
 
-def _follow_changes(board, now: float) -> None:
-    """Follow the hosts that changed and, if the pools did, the endpoints."""
+def _apply_changes(board, now: float) -> None:
+    """Process changed hosts and, if the configuration changed, the endpoints."""
     state, membership = board.placement_state, board.membership
     changed = False
     if state.hosts_key != _make_hosts_key(board):
-        # Hosts that came or went without a version are found by comparison.
-        unseen = len(board.hosts) != state.hosts_key[1]
-        names = [*state.seen, *board.hosts] if unseen else list(membership.touched)
-        changed = _follow_hosts(board, names, now)
+        # Hosts added or removed without a new version are found by comparison.
+        count_changed = len(board.hosts) != state.hosts_key[1]
+        names = (
+            [*state.known_hosts, *board.hosts]
+            if count_changed
+            else list(membership.changed_hosts)
+        )
+        changed = _update_hosts(board, names, now)
     if changed or state.endpoints_key != _make_endpoints_key(board):
-        _follow_endpoints(board, everything=changed)
+        _update_endpoints(board, compare_all=changed)
 
 
-def _follow_hosts(board, names: list[str], now: float) -> bool:
-    """Bring the tables in line with some hosts.
+def _update_hosts(board, names: list[str], now: float) -> bool:
+    """Update the tables for the given hosts.
 
     Returns
     -------
@@ -203,41 +219,46 @@
     """
     state = board.placement_state
     state.hosts_key = _make_hosts_key(board)
-    board.membership.touched.clear()
+    board.membership.changed_hosts.clear()
     before = frozenset(state.tables)
-    come: dict[str, set[str]] = collections.defaultdict(set)
-    gone: dict[str, set[str]] = collections.defaultdict(set)
+    added: dict[str, set[str]] = collections.defaultdict(set)
+    removed: dict[str, set[str]] = collections.defaultdict(set)
     for name in names:
-        old, new = state.seen.get(name, NOWHERE), _describe(board, name, now)
+        old, new = (
+            state.known_hosts.get(name, NOT_USABLE),
+            _describe_host(board, name, now),
+        )
         if new == old:
             continue
         if new[0] != old[0]:
-            gone[old[0]].add(name)
-            come[new[0]].add(name)
-        _note_host(state, name, old[0], new)
-    for place in (come.keys() | gone.keys()) - {""}:
-        _change_table(state.tables[place], come[place], gone[place])
+            removed[old[0]].add(name)
+            added[new[0]].add(name)
+        _update_host(state, name, old[0], new)
+    for place in (added.keys() | removed.keys()) - {""}:
+        _update_table(state.tables[place], added[place], removed[place])
         if not state.tables[place].hosts:
             del state.tables[place]
     return before != state.tables.keys()
 
 
-def _describe(board, name: str, now: float) -> tuple[str, tuple[str, ...]]:
-    """Return the place that a host serves and the endpoints that it moved."""
+def _describe_host(board, name: str, now: float) -> tuple[str, tuple[str, ...]]:
+    """Return the place and moved endpoints of a host, NOT_USABLE if it is unusable."""
     record = board.hosts.get(name)
     if record is None:
-        return NOWHERE
+        return NOT_USABLE
     board.membership.regions[record.place] = record.region
-    return (record.place, record.moved) if records.is_usable(record, now) else NOWHERE
+    return (
+        (record.place, record.moved) if records.is_usable(record, now) else NOT_USABLE
+    )
 
 
-def _note_host(state: Placement, name: str, old_place: str, new: tuple) -> None:
+def _update_host(state: PlacementState, name: str, old_place: str, new: tuple) -> None:
     place, moved = new
     if place:
-        state.seen[name] = new
+        state.known_hosts[name] = new
         state.tables.setdefault(place, PlaceTable())
     else:
-        del state.seen[name]
+        del state.known_hosts[name]
     for table in filter(None, map(state.tables.get, {place, old_place})):
         table.dirty = True
         table.moved.pop(name, None)
@@ -245,65 +266,66 @@
         state.tables[place].moved[name] = moved
 
 
-def _change_table(table: PlaceTable, come: set[str], gone: set[str]) -> None:
-    """Take hosts out of a table and into it."""
-    for name in gone:
+def _update_table(table: PlaceTable, added: set[str], removed: set[str]) -> None:
+    """Add hosts to a table, remove others, and update the cached choices."""
+    for name in removed:
         table.hosts.pop(name, None)
-    for name in come:
-        table.hosts[name] = rendezvous.make_seed(name)
-    if len(come) > CHOICES:
+    for name in added:
+        table.hosts[name] = rendezvous.hash_text(name)
+    if len(added) > CHOICES:
         table.unranked.update(dict.fromkeys(table.choices))
-        come = set()
-    least = min(CHOICES_LEFT, len(table.hosts))
+        added = set()
+    minimum = min(MINIMUM_CHOICES, len(table.hosts))
     for endpoint, choices in table.choices.items():
         kept = choices
-        if gone and not gone.isdisjoint(kept):
-            kept = tuple(name for name in kept if name not in gone)
-        if come and kept:
-            kept = _insert(table, endpoint, kept, come)
+        if removed and not removed.isdisjoint(kept):
+            kept = tuple(name for name in kept if name not in removed)
+        if added and kept:
+            kept = _insert_hosts(table, endpoint, kept, added)
         if kept is not choices:
             table.choices[endpoint] = kept
-        if len(kept) < least:
+        if len(kept) < minimum:
             table.unranked[endpoint] = None
 
 
-def _insert(table: PlaceTable, endpoint: str, choices: tuple, come) -> tuple:
-    """Return the choices with new hosts that score better than the last one.
+def _insert_hosts(table: PlaceTable, endpoint: str, choices: tuple, added) -> tuple:
+    """Return the choices with the added hosts that rank before the last choice.
 
-    A host that scores worse is added only if the choices were all hosts of the
-    place; otherwise hosts that are not kept may lie between.
+    A host that ranks after it is added only if the choices contained all other
+    hosts of the place; otherwise uncached hosts may rank between the two.
     """
-    key, hosts = rendezvous.make_seed(endpoint), table.hosts
+    key, hosts = rendezvous.hash_text(endpoint), table.hosts
     last = rendezvous.mix(key, hosts[choices[-1]])
-    complete = len(choices) + len(come) == len(hosts)
-    better = [n for n in come if complete or rendezvous.mix(key, hosts[n]) < last]
+    complete = len(choices) + len(added) == len(hosts)
+    better = [n for n in added if complete or rendezvous.mix(key, hosts[n]) < last]
     if not better:
         return choices
     names = sorted((*choices, *better), key=lambda n: rendezvous.mix(key, hosts[n]))
     return tuple(names[:CHOICES])
 
 
-def _follow_endpoints(board, *, everything: bool) -> None:
-    """Give new and changed endpoints to the place that serves them."""
+def _update_endpoints(board, *, compare_all: bool) -> None:
+    """Enter new and changed endpoints in the table of the place that serves them."""
     state = board.placement_state
     state.endpoints_key = _make_endpoints_key(board)
-    for name in [name for name in state.homes if name not in board.endpoints]:
+    for name in [name for name in state.endpoint_places if name not in board.endpoints]:
         _remove(state, name)
         board.placement.pop(name, None)
-        state.served.discard(name)
+        state.served_endpoints.discard(name)
     for name, record in board.endpoints.items():
-        home = state.homes.get(name)
-        if home is not None and home[0] == record.place and not everything:
+        known_pair = state.endpoint_places.get(name)
+        if known_pair is not None and known_pair[0] == record.place and not compare_all:
             continue
         place = _choose_place(board, name, record.place)
-        if home == (record.place, place) and name in _get_choices(state, place):
+        if known_pair == (record.place, place) and name in _get_choices(state, place):
             continue
         _remove(state, name)
         pair = (record.place, place)
-        # One tuple for all endpoints of a place saves 1.5 MB at the target size.
-        state.homes[name] = state.pairs.setdefault(pair, pair)
+        # Sharing one tuple among the endpoints of a place saves 1.5 MB at the
+        # target size.
+        state.endpoint_places[name] = state.shared_pairs.setdefault(pair, pair)
         if not place:
-            # No host is usable anywhere; the endpoint keeps its last one.
+            # No host is usable anywhere; the endpoint keeps its previous host.
             continue
         table = state.tables[place]
         table.choices[name] = ()
@@ -311,13 +333,13 @@
         table.unranked[name] = None
 
 
-def _get_choices(state: Placement, place: str) -> dict:
+def _get_choices(state: PlacementState, place: str) -> dict:
     table = state.tables.get(place)
     return table.choices if table is not None else {}
 
 
-def _remove(state: Placement, endpoint: str) -> None:
-    _, place = state.homes.pop(endpoint, ("", ""))
+def _remove(state: PlacementState, endpoint: str) -> None:
+    _, place = state.endpoint_places.pop(endpoint, ("", ""))
     table = state.tables.get(place)
     if table is not None and table.choices.pop(endpoint, None) is not None:
         table.unranked.pop(endpoint, None)
@@ -327,32 +349,32 @@
 def _choose_place(board, endpoint: str, place: str) -> str:
     """Return the place that serves an endpoint.
 
-    Its own place if that has usable hosts, otherwise one of the same region,
-    otherwise any. The choice of another place differs between endpoints, so
-    that their load spreads.
+    This is its own place if that has usable hosts, otherwise a place of the same
+    region, otherwise any place. The substitute differs between endpoints, so that
+    their load is distributed.
     """
     tables, regions = board.placement_state.tables, board.membership.regions
     if place in tables or not tables:
         return place if tables else ""
     near = [name for name in tables if regions[name] == regions.get(place)]
-    key = rendezvous.make_seed(endpoint)
-    seeds = [(rendezvous.make_seed(name), name) for name in near or tables]
-    return rendezvous.rank(key, seeds, 1)[0]
+    key = rendezvous.hash_text(endpoint)
+    candidates = [(rendezvous.hash_text(name), name) for name in near or tables]
+    return rendezvous.rank(key, candidates, 1)[0]
 
 
 def _rank(table: PlaceTable, endpoint: str) -> tuple[str, ...]:
-    seeds = [(seed, name) for name, seed in table.hosts.items()]
-    key = rendezvous.make_seed(endpoint)
-    choices = tuple(rendezvous.rank(key, seeds, CHOICES))
+    candidates = [(name_hash, name) for name, name_hash in table.hosts.items()]
+    key = rendezvous.hash_text(endpoint)
+    choices = tuple(rendezvous.rank(key, candidates, CHOICES))
     table.choices[endpoint] = choices
     table.unranked.pop(endpoint, None)
     return choices
 
 
-def _advance(board, budget: int | None) -> None:
-    """Rank endpoints within a budget of scores; assign places that are ranked.
+def _rank_and_assign(board, budget: int | None) -> None:
+    """Rank endpoints within a budget of scores; assign fully ranked places.
 
-    The node's own place comes first, because the node serves endpoints of it.
+    The node's own place comes first, because the node serves its endpoints.
     """
     tables = board.placement_state.tables
     dirty = [place for place, table in tables.items() if table.dirty or table.unranked]
@@ -363,20 +385,20 @@
             budget = None if budget is None else budget - len(table.hosts)
         if not table.unranked:
             table.dirty = False
-            _assign(board, place, table)
+            _assign_place(board, place, table)
 
 
-def _assign(board, place: str, table: PlaceTable) -> None:
-    """Place the endpoints of a table and log what changed."""
+def _assign_place(board, place: str, table: PlaceTable) -> None:
+    """Assign the endpoints of a place to hosts and log the changes."""
     if table.ordered is None:
-        table.ordered = sorted(table.choices, key=rendezvous.make_seed)
+        table.ordered = sorted(table.choices, key=rendezvous.hash_text)
     changed = 0
-    for endpoint, host, reason in spread(table):
+    for endpoint, host, reason in choose_hosts(table):
         old = board.placement.get(endpoint)
         if old == host:
             continue
         changed += 1
-        _put(board, endpoint, host)
+        _set_host(board, endpoint, host)
         if old is not None:
             board.log(
                 logs.LogEvent.ENDPOINT_PLACED,
@@ -395,24 +417,24 @@
         )
 
 
-def _put(board, endpoint: str, host: str) -> None:
+def _set_host(board, endpoint: str, host: str) -> None:
     board.placement[endpoint] = host
     if host == board.identity.host:
-        board.placement_state.served.add(endpoint)
+        board.placement_state.served_endpoints.add(endpoint)
     else:
-        board.placement_state.served.discard(endpoint)
+        board.placement_state.served_endpoints.discard(endpoint)
 
 
 def compute_bound(endpoints: int, hosts: int) -> int:
-    """Return the greatest number of endpoints that the hash gives to a host."""
+    """Return the maximum number of endpoints that hashing assigns to one host."""
     return max(1, math.ceil(LOAD_FACTOR * endpoints / hosts))
 
 
-def spread(table: PlaceTable):
+def choose_hosts(table: PlaceTable):
     """Yield each endpoint of a table with its host and the reason.
 
-    The endpoints choose in the order of their seeds. If all kept choices of an
-    endpoint are full, it goes to the one with the fewest endpoints.
+    Endpoints are assigned in the order of their hashes. If all choices of an
+    endpoint are full, it goes to the choice with the fewest endpoints.
     """
     bound = compute_bound(len(table.choices), len(table.hosts))
     counts = dict.fromkeys(table.hosts, 0)
@@ -421,26 +443,26 @@
         counts[host] += 1
         first = host == table.choices[endpoint][0]
         reason = "rendezvous hash" if first else "bounded load"
-        given = table.moved.get(host)
-        if given is not None and make_id(endpoint) in given:
+        moved_ids = table.moved.get(host)
+        if moved_ids is not None and make_endpoint_id(endpoint) in moved_ids:
             host, reason = _choose_next(table, endpoint, host), "moved by its host"
         yield endpoint, host, reason
 
 
 def _select(table: PlaceTable, endpoint: str, counts: dict, bound: int) -> str:
-    """Return the first choice of an endpoint that is not full."""
+    """Return the first choice of an endpoint below the bound, else the emptiest."""
     for host in table.choices[endpoint]:
         if counts[host] < bound:
             return host
-    choices = _complete(table, endpoint)
+    choices = _complete_choices(table, endpoint)
     free = (host for host in choices if counts[host] < bound)
     return next(free, min(choices, key=counts.__getitem__))
 
 
-def _complete(table: PlaceTable, endpoint: str) -> tuple[str, ...]:
-    """Return all choices that are kept for an endpoint, ranked anew if some went.
+def _complete_choices(table: PlaceTable, endpoint: str) -> tuple[str, ...]:
+    """Return the choices of an endpoint, ranked again if some were removed.
 
-    Results must not depend on which hosts went and came before.
+    Results must not depend on earlier failures and returns of hosts.
     """
     choices = table.choices[endpoint]
     if len(choices) < min(CHOICES, len(table.hosts)):
@@ -449,13 +471,13 @@
 
 
 def _choose_next(table: PlaceTable, endpoint: str, host: str) -> str:
-    """Return the choice after a host, or the host if there is no other one."""
+    """Return the choice after a host, or the host itself if it is the only one."""
     choices = table.choices[endpoint]
     if choices[-1] == host:
-        choices = _complete(table, endpoint)
-    return get_next(choices, host)
+        choices = _complete_choices(table, endpoint)
+    return get_next_host(choices, host)
 
 
-def get_next(choices: tuple[str, ...], host: str) -> str:
-    """Return the choice after a host; the last one is followed by the first."""
+def get_next_host(choices: tuple[str, ...], host: str) -> str:
+    """Return the choice after a host; the first one follows the last."""
     return choices[(choices.index(host) + 1) % len(choices)]
--- a/hyssopshelf/membership/protocol.py
+++ b/hyssopshelf/membership/protocol.py
@@ -1,4 +1,4 @@
-"""State of the failure detection and the messages of membership."""
+"""State of failure detection and the membership messages."""
 
 import attrs
 
@@ -8,18 +8,18 @@
 
 @attrs.define(kw_only=True)
 class Probe:
-    """A probe that waits for its acknowledgement."""
+    """A sent probe whose acknowledgement is pending."""
 
     target: str
     sequence: int
-    ask_at: float
+    indirect_at: float
     suspect_at: float
-    asked: bool = False
+    indirect_requested: bool = False
 
 
 @attrs.define(kw_only=True)
 class Relay:
-    """A probe on behalf of another host."""
+    """A probe sent on behalf of another host, which gets the acknowledgement."""
 
     origin: str
     sequence: int
@@ -28,51 +28,55 @@
 
 @attrs.frozen(kw_only=True)
 class Readers:
-    """The readers of a key and the score of the last one."""
+    """The hosts that read a key, and the highest of their rendezvous scores."""
 
     names: frozenset[str]
-    worst: int
+    highest_score: int
 
 
 @attrs.define(kw_only=True)
 class Membership:
-    """State of the failure detection.
+    """State of failure detection at this node.
 
     Attributes
     ----------
     seeds : tuple of str
-        Addresses from the settings to join through.
+        Addresses from the settings through which the node joins.
     version : int
-        Raised when the set of usable hosts or what they moved changes.
-    touched : set of str
-        Hosts concerned by such changes that placement has not seen yet.
+        Incremented when the set of usable hosts or their moved endpoints change.
+    changed_hosts : set of str
+        Hosts with such changes that placement has not processed yet.
     peers : int
         Number of other hosts that are not dead.
-    heard_at : float or None
-        Time of the last message of another host; None before the first step.
+    last_message_at : float or None
+        Time of the last message from another host; None before the first step.
     isolated_at : float or None
-        Time since which the node takes itself to be cut off.
-    list_leaving : bool
-        Whether the host list says that this host is leaving.
+        Time at which the node detected its isolation, None if not isolated.
+    listed_leaving : bool
+        Whether the host list marks this host as leaving.
     listed, listed_at
-        Names in the last host list and the time of its reading.
+        Host names in the last host list, and the time at which it was read.
     candidates : dict of str to str
-        Addresses of listed hosts that are not known, by name.
+        Addresses of listed hosts that the node does not know yet, by name.
     suspects, dead, held : dict of str to float
-        Hosts by the time at which their suspicion ends, at which they are
-        forgotten, and from which they are usable again.
+        For each such host, the time at which its suspicion expires, its record
+        is deleted, or it becomes usable again.
     regions : dict of str to str
-        Regions of all places that any node remembers, so that all nodes choose
-        alike for a place whose hosts are gone.
+        Region of each place that any node knows of, so that all nodes choose the
+        same substitute for a place without hosts.
+    priority_targets : list of str
+        Hosts to probe ahead of their turn, last one first.
+    conflicting : dict of str to None
+        Hosts that are dead here and live at another node.
     """
 
     seeds: tuple[str, ...] = ()
     version: int = 0
-    touched: set[str] = attrs.field(factory=set)
+    changed_hosts: set[str] = attrs.field(factory=set)
     peers: int = 0
-    heard_at: float | None = None
+    last_message_at: float | None = None
     isolated_at: float | None = None
-    list_leaving: bool = False
+    listed_leaving: bool = False
     listed: frozenset[str] = frozenset()
     listed_at: float = float("-inf")
     candidates: dict[str, str] = attrs.field(factory=dict)
@@ -83,18 +87,18 @@
     digests: gossip.Digests = attrs.field(factory=gossip.Digests)
     outbox: gossip.Outbox = attrs.field(factory=gossip.Outbox)
     probe: Probe | None = None
-    probe_at: float | None = None
-    probed_at: float = float("-inf")
-    order: list[str] = attrs.field(factory=list)
-    order_index: int = 0
-    doubted: list[str] = attrs.field(factory=list)
+    next_probe_at: float | None = None
+    last_probe_at: float = float("-inf")
+    probe_order: list[str] = attrs.field(factory=list)
+    probe_order_index: int = 0
+    priority_targets: list[str] = attrs.field(factory=list)
     conflicting: dict[str, None] = attrs.field(factory=dict)
     relays: dict[int, Relay] = attrs.field(factory=dict)
     sequence: int = 0
-    news_at: float = 0.0
-    contact_at: float = 0.0
-    join_at: float = 0.0
-    pull_at: float = 0.0
+    next_news_at: float = 0.0
+    next_dead_probe_at: float = 0.0
+    next_join_at: float = 0.0
+    next_pull_at: float = 0.0
     mismatches: list[int] = attrs.field(factory=lambda: [0] * gossip.BUCKETS)
     readers: dict[str, Readers] = attrs.field(factory=dict)
 
@@ -102,7 +106,7 @@
 @messages.register("membership.probe")
 @attrs.frozen(kw_only=True)
 class ProbeHost:
-    """Ask a host for an acknowledgement; sequence 0 is not tracked."""
+    """Asks a host for an acknowledgement; sequence 0 is not tracked."""
 
     sequence: int
     sender: gossip.Row
@@ -113,7 +117,7 @@
 @messages.register("membership.acknowledge")
 @attrs.frozen(kw_only=True)
 class Acknowledge:
-    """Answer a probe."""
+    """Answers a probe."""
 
     sequence: int
     sender: gossip.Row
@@ -124,7 +128,7 @@
 @messages.register("membership.relay")
 @attrs.frozen(kw_only=True)
 class RelayProbe:
-    """Ask a host to probe another one and to pass on its answer."""
+    """Asks a host to probe the target and to relay the acknowledgement."""
 
     sequence: int
     target: str
@@ -135,7 +139,7 @@
 @messages.register("membership.news")
 @attrs.frozen(kw_only=True)
 class News:
-    """Changes that are sent without waiting for the next probe."""
+    """Carries changes without waiting for the next probe."""
 
     sender: gossip.Row
     rows: tuple[gossip.Row, ...]
@@ -144,7 +148,7 @@
 @messages.register("membership.join")
 @attrs.frozen(kw_only=True)
 class Join:
-    """Ask for all hosts that the receiver knows."""
+    """Asks for all hosts that the receiver knows."""
 
     sender: gossip.Row
 
@@ -152,7 +156,7 @@
 @messages.register("membership.pull")
 @attrs.frozen(kw_only=True)
 class PullBuckets:
-    """Ask for the hosts in some buckets."""
+    """Asks for the hosts in the given digest buckets."""
 
     sender: gossip.Row
     buckets: tuple[int, ...]
@@ -161,7 +165,7 @@
 @messages.register("membership.table")
 @attrs.frozen(kw_only=True)
 class Table:
-    """The hosts in some buckets that the sender does not take for dead."""
+    """Lists the hosts in the given buckets that the sender does not consider dead."""
 
     sender: gossip.Row
     buckets: tuple[int, ...]
@@ -172,7 +176,7 @@
 @messages.register("membership.leaving")
 @attrs.frozen(kw_only=True)
 class LeavingNotice:
-    """Tell a host what the host list says about it."""
+    """Tells a host whether the host list marks it as leaving."""
 
     sender: gossip.Row
     leaving: bool
--- a/hyssopshelf/membership/tables.py
+++ b/hyssopshelf/membership/tables.py
@@ -1,35 +1,41 @@
-"""Exchange of whole tables of hosts: joining, repair and the platform's list."""
+"""Exchange of host tables: joins, repair by digests and the platform's host list."""
 
 from hyssopshelf import base, logs
 from hyssopshelf.membership import exchange, gossip, protocol, records, transitions
 
-CONTACT_PERIOD_SECONDS = 5.0
-"""Time between two attempts to reach a dead host, so that the two sides of a
-partition find each other after it heals."""
+DEAD_PROBE_PERIOD_SECONDS = 5.0
+"""Interval between probes of a dead host.
 
-CONTACTS = 3
-"""Untracked probes that a node sends at most in one probe period."""
+They let the two sides of a partition find each other after it heals.
+"""
+
+MAXIMUM_UNTRACKED_PROBES = 3
+"""Upper bound on the untracked probes that a node sends in a probe period."""
 
 PULL_PERIOD_SECONDS = 5.0
-"""Least time between two pulls of buckets."""
+"""Minimum interval between two pulls of buckets."""
 
 MISMATCHES_BEFORE_PULL = 10
-"""Digests in a row that differ in a bucket before it is pulled; changes that
-are still spreading cause shorter runs."""
+"""Consecutive comparisons in which a bucket must differ before it is pulled.
+
+Changes that are still spreading cause shorter runs.
+"""
+
+MAXIMUM_PULLED_ROWS = 400
+"""Upper bound on the rows that a pull requests, but at least one bucket.
 
-PULLED_ROWS = 400
-"""Rows that a pull asks for at most, with one bucket as the least amount; 28 KB
-every 5 s at the target size."""
+This amounts to 28 KB every 5 s at the target size.
+"""
 
 
-def contact(board, now: float) -> None:
-    """Probe dead hosts that may be back, without waiting for an answer."""
+def probe_dead_hosts(board, now: float) -> None:
+    """Probe dead hosts that may have returned, without tracking the answers."""
     state = board.membership
-    names = list(state.conflicting)[:CONTACTS]
+    names = list(state.conflicting)[:MAXIMUM_UNTRACKED_PROBES]
     for name in names:
         del state.conflicting[name]
-    if state.dead and now >= state.contact_at:
-        state.contact_at = now + CONTACT_PERIOD_SECONDS
+    if state.dead and now >= state.next_dead_probe_at:
+        state.next_dead_probe_at = now + DEAD_PROBE_PERIOD_SECONDS
         names.append(board.random.choice(list(state.dead)))
     for name in names:
         if name in state.dead:
@@ -37,7 +43,7 @@
 
 
 def join(board) -> None:
-    """Ask one random host of the list or the settings for the hosts."""
+    """Request the host table from a random listed, configured or dead host."""
     state = board.membership
     own = board.identity.address
     addresses = {*state.seeds, *state.candidates.values()}
@@ -53,14 +59,14 @@
 
 @base.receive.register
 def receive_join(message: protocol.Join, board, host: str, now: float) -> None:
-    """Answer a host that joins with all hosts."""
+    """Answer a joining host with the whole host table."""
     exchange.apply_message(board, message, host, now)
     _send_table(board, host, tuple(range(gossip.BUCKETS)))
 
 
 @base.receive.register
 def receive_pull(message: protocol.PullBuckets, board, host: str, now: float) -> None:
-    """Answer with the hosts in the buckets that the sender asks for."""
+    """Answer with the hosts in the requested buckets."""
     exchange.apply_message(board, message, host, now)
     _send_table(board, host, message.buckets)
 
@@ -83,14 +89,14 @@
 
 @base.receive.register
 def receive_table(message: protocol.Table, board, host: str, now: float) -> None:
-    """Apply a table and check the hosts on which it differs.
+    """Apply a host table and check the hosts on which the two nodes differ.
 
-    A host that is dead here and live there is contacted, so that it refutes its
-    death itself. A host that is missing there is probed next.
+    A host that is dead here and live at the sender is probed, so that it refutes
+    its death itself. A host that is missing at the sender is probed next.
 
-    A node that joins does not spread what it learns from its first table, which
-    is no news: at the target size it would send 5,100 rows 39 times each, about
-    2 KB/s for 50 minutes.
+    A joining node does not spread the rows of its first table, which the other
+    nodes already know: at the target size it would send 5,100 rows 39 times
+    each, about 2 KB/s for 50 minutes.
     """
     state = board.membership
     state.regions = message.regions | state.regions
@@ -101,7 +107,7 @@
         for name in listed - {board.identity.host}:
             state.outbox.discard(name)
     state.conflicting |= dict.fromkeys(listed & state.dead.keys())
-    state.doubted = [
+    state.priority_targets = [
         name
         for name in board.hosts
         if gossip.get_bucket(name) in message.buckets
@@ -114,28 +120,28 @@
 def receive_notice(
     message: protocol.LeavingNotice, board, host: str, now: float
 ) -> None:
-    """Announce what the host list says about this host."""
+    """Adopt the leaving mark of the host list; the next step announces it."""
     exchange.apply_message(board, message, host, now)
-    board.membership.list_leaving = message.leaving
+    board.membership.listed_leaving = message.leaving
 
 
 def compare_digests(board, host: str, packed: bytes, now: float) -> None:
-    """Pull the buckets that have differed for long from the other node."""
+    """Pull the buckets whose digests have differed in many comparisons in a row."""
     state = board.membership
     different = set(state.digests.list_differences(packed))
     for bucket in range(gossip.BUCKETS):
         count = state.mismatches[bucket] + 1 if bucket in different else 0
         state.mismatches[bucket] = count
-    if now < state.pull_at:
+    if now < state.next_pull_at:
         return
     lasting = [b for b in different if state.mismatches[b] >= MISMATCHES_BEFORE_PULL]
     if not lasting:
         return
-    limit = max(1, PULLED_ROWS * gossip.BUCKETS // len(board.hosts))
+    limit = max(1, MAXIMUM_PULLED_ROWS * gossip.BUCKETS // len(board.hosts))
     buckets = tuple(sorted(board.random.sample(sorted(lasting), len(lasting))[:limit]))
     for bucket in buckets:
         state.mismatches[bucket] = 0
-    state.pull_at = now + PULL_PERIOD_SECONDS
+    state.next_pull_at = now + PULL_PERIOD_SECONDS
     board.log(logs.LogEvent.HOSTS_PULLED, host=host, buckets=len(buckets))
     exchange.send(
         board,
@@ -146,21 +152,21 @@
 
 @base.handle.register
 def handle_host_list(event: base.HostListReceived, board, now: float) -> None:
-    """Compare the platform's list with the hosts that this node knows.
+    """Compare the platform's host list with the hosts that this node knows.
 
-    The list lags, so that it never makes a host dead or live by itself: an
-    unknown host is probed, and a host that is marked as leaving is told so and
-    announces it.
+    The list lags, so it never makes a host dead or live by itself: unknown hosts
+    are probed, and a host whose leaving mark differs is notified and announces
+    the change itself.
     """
     state = board.membership
-    transitions.start(board, now)
+    transitions.initialize(board, now)
     state.listed = frozenset(entry.name for entry in event.hosts)
     state.listed_at = now
     state.candidates = {}
     for entry in event.hosts:
         record = board.hosts.get(entry.name)
         if entry.name == board.identity.host:
-            state.list_leaving = entry.leaving
+            state.listed_leaving = entry.leaving
         elif record is None:
             state.candidates[entry.name] = entry.address
         elif record.leaving != entry.leaving and exchange.is_peer(board, entry.name):
@@ -170,5 +176,7 @@
             exchange.send(board, entry.name, notice)
     if state.peers:
         names = sorted(state.candidates)
-        for name in board.random.sample(names, min(CONTACTS, len(names))):
+        for name in board.random.sample(
+            names, min(MAXIMUM_UNTRACKED_PROBES, len(names))
+        ):
             exchange.send_probe(board, state.candidates[name], 0)
--- a/hyssopshelf/membership/transitions.py
+++ b/hyssopshelf/membership/transitions.py
@@ -1,42 +1,42 @@
-"""Changes of what this node believes of a host.
+"""State transitions of the hosts in the host table of this node.
 
-All changes of the table of hosts go through this module, which keeps the
-digests, the rows to send and the counters in step with it.
+All changes of the table go through this module, which keeps the digests, the
+queue of rows to send and the counters consistent with it.
 """
 
 from hyssopshelf import logs
 from hyssopshelf.membership import gossip, records, rendezvous
 
 SUSPICION_SECONDS = 2.0
-"""Time in which a host that this node suspects itself can refute, in seconds."""
+"""Time to refute a suspicion that this node raised itself, in seconds."""
 
 REPORTED_SUSPICION_SECONDS = 4.0
-"""The same for a suspicion heard from another host.
+"""Time to refute a suspicion reported by another host, in seconds.
 
-That host declares the death in the usual case. The longer time lets a
-refutation, which starts later than the suspicion, arrive first: with 5% loss
-and 400 nodes it reduced false deaths from 12 to 0 in the same trial.
+Usually the reporting host declares the death. The longer time lets a refutation,
+which starts later than the suspicion, arrive first: with 5% message loss and 400
+nodes it reduced false deaths from 12 to 0 in the same trial.
 """
 
 FORGET_SECONDS = 600.0
 """Time for which the record of a dead host is kept.
 
-It exceeds the lag of the host list and the time of spreading, so that old news
-cannot bring the host back. With 4,100 restarts a day 28 records are kept.
+It exceeds the lag of the host list and the time that rows take to spread, so that
+stale rows cannot revive the host. With 4,100 restarts a day, 28 records are kept.
 """
 
 STABLE_SECONDS = 5.0
-"""Time for which a host that flapped once must be stable before it is used."""
+"""Time that a host must be stable after its first flap before it is usable."""
 
 MAXIMUM_STABLE_SECONDS = 60.0
-"""Upper bound of that time, which doubles with each flap."""
+"""Upper bound on the stable time, which doubles with each flap."""
 
 FLAP_WINDOW_SECONDS = 300.0
-"""A failure within this time of the one before is a flap."""
+"""Time after a failure within which the next failure counts as a flap."""
 
 
-def find_own(board, now: float) -> records.HostRecord:
-    """Return the record of this host and create it at the first call."""
+def ensure_own_record(board, now: float) -> records.HostRecord:
+    """Return the record of this host, creating it at the first call."""
     identity = board.identity
     record = board.hosts.get(identity.host)
     if record is None:
@@ -47,18 +47,18 @@
             region=identity.region,
             incarnation=identity.incarnation,
         )
-        _add(board, record)
+        _add_record(board, record)
         _log_alive(board, record)
     return record
 
 
-def start(board, now: float) -> None:
-    """Derive digests and counters from existing records, at the first call only."""
+def initialize(board, now: float) -> None:
+    """Compute digests and counters from existing records, at the first call only."""
     state = board.membership
-    if state.heard_at is not None:
+    if state.last_message_at is not None:
         return
-    state.heard_at = now
-    find_own(board, now)
+    state.last_message_at = now
+    ensure_own_record(board, now)
     state.digests = gossip.Digests()
     for record in board.hosts.values():
         state.digests.toggle(record)
@@ -67,30 +67,33 @@
     state.peers = len(board.hosts) - dead - 1
 
 
-def _touch(board, name: str) -> None:
-    """Note that a host may have become usable or unusable, or moved endpoints."""
+def _mark_changed(board, name: str) -> None:
+    """Mark a host whose usability or moved endpoints may have changed.
+
+    Drops the cached readers of each key that this host may affect.
+    """
     state = board.membership
     state.version += 1
-    state.touched.add(name)
-    for key, order in list(state.readers.items()):
-        score = rendezvous.mix(rendezvous.make_seed(key), rendezvous.make_seed(name))
-        if score <= order.worst:
+    state.changed_hosts.add(name)
+    for key, readers in list(state.readers.items()):
+        score = rendezvous.mix(rendezvous.hash_text(key), rendezvous.hash_text(name))
+        if score <= readers.highest_score:
             del state.readers[key]
 
 
-def _add(board, record: records.HostRecord) -> None:
+def _add_record(board, record: records.HostRecord) -> None:
     state = board.membership
     board.hosts[record.name] = record
     state.regions[record.place] = record.region
     state.digests.toggle(record)
     state.outbox.add(record.name)
-    _touch(board, record.name)
+    _mark_changed(board, record.name)
     if record.name != board.identity.host:
         state.peers += 1
 
 
-def _change(board, record: records.HostRecord, **values) -> None:
-    """Set fields of a record and keep all that is derived from it in step."""
+def _update_record(board, record: records.HostRecord, **values) -> None:
+    """Set fields of a record and update the digests, send queue and peer count."""
     state = board.membership
     was_dead = record.state is records.HostState.DEAD
     state.digests.toggle(record)
@@ -111,7 +114,7 @@
     moved: tuple[str, ...] | None = None,
     refutation: int = 0,
 ) -> None:
-    """Spread a new state of this host that overrides older news about it.
+    """Announce a new state of this host that overrides older rows about it.
 
     Parameters
     ----------
@@ -120,22 +123,23 @@
     now : float
         Time on the node's monotonic clock, in seconds.
     leaving : bool or None
-        Whether the host leaves; None for no change.
+        Whether the host is leaving; None for no change.
     moved : tuple of str or None
-        Ids of endpoints given to their next choice; None for no change.
+        Ids of endpoints moved to the next host in their ranking; None for no
+        change.
     refutation : int
-        Number that the announcement must exceed.
+        Refutation number that the announcement must exceed.
     """
-    record = find_own(board, now)
+    record = ensure_own_record(board, now)
     leaving = record.leaving if leaving is None else leaving
     moved = record.moved if moved is None else moved
     state = records.HostState.LEAVING if leaving else records.HostState.ALIVE
     if (leaving, moved) != (record.leaving, record.moved):
-        _touch(board, record.name)
+        _mark_changed(board, record.name)
     if leaving != record.leaving:
         board.log(logs.LogEvent.HOST_LEAVING, host=record.name, leaving=leaving)
     refutation = max(refutation, record.refutation) + 1
-    _change(
+    _update_record(
         board,
         record,
         state=state,
@@ -146,14 +150,14 @@
 
 
 def apply_row(board, row: gossip.Row, now: float) -> None:
-    """Apply news about a host if it is newer than what the node knows."""
+    """Apply a row about a host if it is newer than the record of this node."""
     name, incarnation, refutation, code = row[:4]
     if name == board.identity.host:
-        _check_own_news(board, row, now)
+        _refute_suspicion(board, row, now)
         return
     record = board.hosts.get(name)
     if record is None:
-        _apply_unknown(board, row)
+        _add_unknown(board, row)
     elif not gossip.is_newer(row, record):
         return
     elif code == gossip.DEAD:
@@ -164,9 +168,9 @@
         _mark_live(board, record, row, now)
 
 
-def _check_own_news(board, row: gossip.Row, now: float) -> None:
-    """Refute suspicion or death of this host in its present incarnation."""
-    own = find_own(board, now)
+def _refute_suspicion(board, row: gossip.Row, now: float) -> None:
+    """Refute a suspicion or death of this host in its current incarnation."""
+    own = ensure_own_record(board, now)
     _, incarnation, refutation, code = row[:4]
     current = incarnation == own.incarnation and refutation >= own.refutation
     if current and code >= gossip.SUSPECT:
@@ -175,7 +179,7 @@
         announce(board, now=now, refutation=refutation)
 
 
-def _apply_unknown(board, row: gossip.Row) -> None:
+def _add_unknown(board, row: gossip.Row) -> None:
     name, incarnation, refutation, code, address, place, region, moved = row
     if code >= gossip.SUSPECT or not address:
         return
@@ -191,7 +195,7 @@
         leaving=leaving,
         moved=moved,
     )
-    _add(board, record)
+    _add_record(board, record)
     board.membership.candidates.pop(name, None)
     _log_alive(board, record)
 
@@ -206,9 +210,9 @@
 
 
 def suspect(board, name: str, now: float) -> bool:
-    """Suspect a host that did not answer; return whether that is new."""
+    """Suspect a host that did not answer; return whether its state changed."""
     record = board.hosts.get(name)
-    if record is None or gossip.get_code(record) >= gossip.SUSPECT:
+    if record is None or gossip.get_state_code(record) >= gossip.SUSPECT:
         return False
     board.count("membership_suspicions")
     _mark_suspect(board, record, now, record.incarnation, record.refutation)
@@ -219,8 +223,8 @@
 def _mark_suspect(board, record, now, incarnation, refutation) -> None:
     board.membership.suspects[record.name] = now + REPORTED_SUSPICION_SECONDS
     if record.state is records.HostState.DEAD:
-        _note_return(board, record, now)
-    _change(
+        _record_return(board, record, now)
+    _update_record(
         board,
         record,
         state=records.HostState.SUSPECT,
@@ -234,12 +238,12 @@
     state = board.membership
     state.suspects.pop(record.name, None)
     if record.state is not records.HostState.DEAD:
-        _note_failure(record, now)
-        _touch(board, record.name)
+        _record_failure(record, now)
+        _mark_changed(board, record.name)
         state.dead[record.name] = now + FORGET_SECONDS
         board.count("membership_deaths")
         board.log(logs.LogEvent.HOST_DEAD, host=record.name, flaps=record.flaps)
-    _change(
+    _update_record(
         board,
         record,
         state=records.HostState.DEAD,
@@ -249,7 +253,7 @@
 
 
 def _mark_live(board, record, row: gossip.Row, now: float) -> None:
-    """Apply the news of a host about itself."""
+    """Apply an alive or leaving row, which originates from the host itself."""
     _, incarnation, refutation, code, address, place, region, moved = row
     state = board.membership
     state.suspects.pop(record.name, None)
@@ -257,14 +261,14 @@
     was_dead = record.state is records.HostState.DEAD
     restarted = incarnation != record.incarnation
     if restarted and not was_dead and not record.leaving:
-        _note_failure(record, now)
+        _record_failure(record, now)
     if restarted or was_dead:
-        _note_return(board, record, now)
+        _record_return(board, record, now)
     if (leaving, place, moved) != (record.leaving, record.place, record.moved):
-        _touch(board, record.name)
+        _mark_changed(board, record.name)
     if leaving and not record.leaving:
         board.log(logs.LogEvent.HOST_LEAVING, host=record.name, leaving=True)
-    _change(
+    _update_record(
         board,
         record,
         state=records.HostState.LEAVING if leaving else records.HostState.ALIVE,
@@ -281,17 +285,17 @@
         _log_alive(board, record)
 
 
-def _note_failure(record: records.HostRecord, now: float) -> None:
+def _record_failure(record: records.HostRecord, now: float) -> None:
     recent = now - record.failed_at < FLAP_WINDOW_SECONDS
     record.flaps = record.flaps + 1 if recent else 0
     record.failed_at = now
 
 
-def _note_return(board, record: records.HostRecord, now: float) -> None:
-    """Hold a host that flapped back until it has been stable."""
+def _record_return(board, record: records.HostRecord, now: float) -> None:
+    """Hold back a returning host that flapped until it has been stable."""
     state = board.membership
     state.dead.pop(record.name, None)
-    _touch(board, record.name)
+    _mark_changed(board, record.name)
     if record.flaps == 0:
         return
     seconds = min(STABLE_SECONDS * 2 ** (record.flaps - 1), MAXIMUM_STABLE_SECONDS)
@@ -301,10 +305,10 @@
 
 
 def end_suspicions(board, now: float) -> None:
-    """Declare suspects dead whose time to refute has passed.
+    """Declare suspects dead whose suspicion has expired.
 
-    A node that is cut off from all others declares only those dead that a host
-    list read since then no longer names.
+    An isolated node declares only those suspects dead that are missing from a
+    host list read since its isolation began.
     """
     state = board.membership
     ended = [name for name, end in state.suspects.items() if end <= now]
@@ -318,15 +322,15 @@
 
 
 def end_holds(board, now: float) -> None:
-    """Use hosts again that have been stable for long enough."""
+    """Make held hosts usable again whose stable time has passed."""
     state = board.membership
     for name in [name for name, end in state.held.items() if end <= now]:
         del state.held[name]
-        _touch(board, name)
+        _mark_changed(board, name)
 
 
 def forget_dead(board, now: float) -> None:
-    """Drop the records of hosts that have been dead for long."""
+    """Delete the records of hosts that died ``FORGET_SECONDS`` ago or earlier."""
     state = board.membership
     while state.dead:
         name, forget_at = next(iter(state.dead.items()))
