--- a/hyssopshelf/failover/confirmation.py
+++ b/hyssopshelf/failover/confirmation.py
@@ -1,9 +1,10 @@
 """Majority confirmation of writes and strong reads.
 
 A round asks every endpoint of a database for its status and serves all
-tickets filed before it started. A majority that confirms a ticket shares an
+tickets created before it started. A majority that confirms a ticket shares an
 endpoint with every majority that can be fenced for a later term, so a change
-of primary either shows in the answers or happens after the round started.
+of primary is either visible in the answers or happens after the start of the
+round.
 """
 
 import attrs
@@ -12,25 +13,30 @@
 from hyssopshelf.consistency import positions
 from hyssopshelf.failover import tickets
 
-ROUND_SECONDS = 0.2
-"""A round ends after this time even without a majority of answers."""
+ROUND_TIMEOUT_SECONDS = 0.2
+"""Time after which a round ends without a majority of answers."""
 
 RETRY_SECONDS = 0.005
-"""First delay between rounds for tickets that a round left undecided."""
+"""Initial delay between rounds for tickets that a round left undecided.
+
+It doubles with each round.
+"""
 
 MAXIMUM_RETRY_SECONDS = 0.05
-"""Greatest delay between such rounds."""
+"""Upper bound of this delay."""
 
-ANSWER_SECONDS = 5.0
-"""A late answer is used for this time after its round started."""
+ANSWER_EXPIRY_SECONDS = 5.0
+"""Time after the start of a round during which late answers are used."""
 
 
 @attrs.define(kw_only=True)
 class Round:
-    """One question to all endpoints of a database.
+    """One status probe of all endpoints of a database.
 
     Attributes
     ----------
+    size : int
+        Number of endpoints that are probed.
     reported : set of str
         Endpoints whose probe ended, with or without an answer.
     answered : int
@@ -45,8 +51,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class Report:
-    """The newest status of an endpoint and the time it was asked for."""
+class StatusReport:
+    """The latest status of an endpoint and the start of the round that got it."""
 
     asked_at: float
     status: messages.EndpointStatus
@@ -58,15 +64,20 @@
 
     Attributes
     ----------
+    reports : dict of str to StatusReport
+        Latest status of each endpoint.
     running : Round or None
         The round that has to end before the next one starts.
     started_at : float
         Start of the last round.
     next_at : float
-        Earliest start of a round for tickets that were already asked about.
+        Earliest start of a round for tickets that an earlier round left
+        undecided.
+    retry_seconds : float
+        Delay before the next such round.
     """
 
-    reports: dict[str, Report] = attrs.field(factory=dict)
+    reports: dict[str, StatusReport] = attrs.field(factory=dict)
     running: Round | None = None
     started_at: float = float("-inf")
     next_at: float = float("-inf")
@@ -75,7 +86,10 @@
 
 @attrs.define(kw_only=True)
 class ConfirmationState:
-    """Confirmation state of a node; ``rounds`` is keyed by probe id."""
+    """Confirmation state of a node.
+
+    ``databases`` is keyed by the full name of the database, ``rounds`` by probe id.
+    """
 
     databases: dict[str, DatabaseConfirmation] = attrs.field(factory=dict)
     rounds: dict[str, Round] = attrs.field(factory=dict)
@@ -87,7 +101,7 @@
 
 
 def settle(board, now: float) -> None:
-    """Start a round for each database whose tickets need one."""
+    """Start a round for each database with undecided tickets if one is due."""
     if not board.tickets:
         return
     waiting: dict[str, float] = {}
@@ -106,7 +120,10 @@
     status: messages.EndpointStatus | None,
     now: float,
 ) -> None:
-    """Use the answer to a probe of a round; other probes are ignored."""
+    """Process the result of a probe of a round; other probes are ignored.
+
+    ``status`` is None if the probe failed.
+    """
     current = board.confirmations.rounds.get(probe_id)
     if current is None or endpoint in current.reported:
         return
@@ -118,7 +135,9 @@
         current.answered += 1
         known = state.reports.get(endpoint)
         if known is None or known.asked_at <= current.started_at:
-            state.reports[endpoint] = Report(asked_at=current.started_at, status=status)
+            state.reports[endpoint] = StatusReport(
+                asked_at=current.started_at, status=status
+            )
         _decide_tickets(board, current.database, state)
     _end_round_if_complete(state, current, now)
 
@@ -129,7 +148,7 @@
         return
     state = board.confirmations.databases.setdefault(database, DatabaseConfirmation())
     if state.running is not None:
-        if now < state.running.started_at + ROUND_SECONDS:
+        if now < state.running.started_at + ROUND_TIMEOUT_SECONDS:
             return
         state.running = None
     if newest > state.started_at:
@@ -141,9 +160,9 @@
 
 def _start_round(board, database, endpoints, state, now: float) -> None:
     rounds = board.confirmations.rounds
-    # Rounds are kept in the order of their start, so old ones come first.
+    # Rounds are stored in the order of their start, so the oldest come first.
     for probe_id, old in list(rounds.items()):
-        if now < old.started_at + ANSWER_SECONDS:
+        if now < old.started_at + ANSWER_EXPIRY_SECONDS:
             break
         del rounds[probe_id]
     current = Round(database=database, started_at=now, size=len(endpoints))
@@ -175,7 +194,7 @@
             _decide_ticket(board, ticket, record.endpoints, state.reports)
 
 
-def _decide_ticket(board, ticket, endpoints, reports: dict[str, Report]) -> None:
+def _decide_ticket(board, ticket, endpoints, reports: dict[str, StatusReport]) -> None:
     term = ticket.position.term
     usable = [
         reports[endpoint]
@@ -194,9 +213,9 @@
         holding = [r for r in current if _holds_position(r.status, ticket.position)]
     if len(holding) < majority:
         return
-    # The endpoint shared with a later fenced majority may be any of those
-    # counted, so the confirmation is only as fresh as the oldest of them. The
-    # newest answers suffice for a majority.
+    # Any of the counted endpoints may be the one shared with a majority that is
+    # fenced later, so the confirmation is only as fresh as the oldest answer
+    # that counts. The newest answers that form a majority are counted.
     asked = sorted((report.asked_at for report in holding), reverse=True)
     ticket.outcome = tickets.ConfirmationOutcome.CONFIRMED
     ticket.confirmed_from = asked[majority - 1]
@@ -205,10 +224,10 @@
 def _holds_position(
     status: messages.EndpointStatus, position: messages.Position
 ) -> bool:
-    """Return whether the log of an endpoint keeps a position for good.
+    """Return whether the log of an endpoint holds a position durably.
 
-    The last entry must be of the position's term. A log that ends in an older
-    term is replaced by a shorter one whose last entry is newer.
+    The last entry must be of the position's term: a log that ends in an older
+    term can be replaced by a shorter one that ends in a newer term.
     """
     last = positions.locate(status.history, status.position)
     return last.term == position.term and positions.contains(
--- a/hyssopshelf/failover/detection.py
+++ b/hyssopshelf/failover/detection.py
@@ -64,7 +64,7 @@
 MOVE_SECONDS = 5.0
 """Time between two attempts to move a primary off a leaving endpoint."""
 
-PROBE_KEPT_SECONDS = 15.0
+POLL_EXPIRY_SECONDS = 15.0
 """Time after which an unanswered probe is forgotten."""
 
 STALE_POLL_SECONDS = 3.0
@@ -241,7 +241,7 @@
 def _forget_old_polls(state: DetectionState, now: float) -> None:
     # Polls are kept in the order in which they were sent.
     for probe_id, poll in list(state.polls.items()):
-        if now < poll.asked_at + PROBE_KEPT_SECONDS:
+        if now < poll.asked_at + POLL_EXPIRY_SECONDS:
             break
         del state.polls[probe_id]
     while len(state.questions) > 64 + len(state.watches):
@@ -373,7 +373,7 @@
     watch.asked_at = now
     request_id = board.next_id()
     board.failover.detection_state.questions[request_id] = record.name
-    watch.asked = len(reachability.ask_hosts(board, record.primary, request_id))
+    watch.asked = len(reachability.request_probes(board, record.primary, request_id))
 
 
 def _decide(board, record, watch: observations.Watch, now: float) -> None:
--- a/hyssopshelf/failover/reachability.py
+++ b/hyssopshelf/failover/reachability.py
@@ -1,8 +1,9 @@
-"""Asking other hosts whether they reach an endpoint.
+"""Probes of an endpoint by other hosts.
 
-A host that is asked probes the endpoint once. It reports a failure after
-``ANSWER_SECONDS``, and reports success even if the answer comes later, because
-a slow answer is an answer.
+A host that receives a request probes the endpoint once. If the endpoint does
+not answer within ``PROBE_TIMEOUT_SECONDS``, the host reports a failure. It
+still reports a success if the answer arrives later, because an endpoint that
+answers slowly is reachable.
 """
 
 import attrs
@@ -10,20 +11,20 @@
 from hyssopshelf import base, messages
 from hyssopshelf.failover import terms
 
-ASKED_HOSTS = 3
-"""Hosts that are asked to probe a primary."""
+PROBING_HOSTS = 3
+"""Number of other hosts that probe a primary at the request of a watcher."""
 
-ANSWER_SECONDS = 0.5
-"""Time that an asked host waits before it reports a failure."""
+PROBE_TIMEOUT_SECONDS = 0.5
+"""Time without an answer after which a failure is reported."""
 
-KEPT_SECONDS = 15.0
-"""Time after which an unanswered probe is forgotten."""
+PROBE_EXPIRY_SECONDS = 15.0
+"""Time after which a probe without an answer is removed."""
 
 
 @messages.register("failover.probe")
 @attrs.frozen(kw_only=True)
 class ProbeRequested:
-    """Ask a host to probe an endpoint."""
+    """Asks the receiving host to probe an endpoint."""
 
     request_id: str
     endpoint: str
@@ -32,7 +33,7 @@
 @messages.register("failover.reached")
 @attrs.frozen(kw_only=True)
 class ProbeReported:
-    """Whether the endpoint of a request answered the host that was asked."""
+    """Result of a requested probe: whether the endpoint answered."""
 
     request_id: str
     endpoint: str
@@ -40,39 +41,51 @@
 
 
 @attrs.define(kw_only=True)
-class AskedProbe:
-    """A probe made for another host."""
+class PeerProbe:
+    """A probe that this node makes at the request of another host.
+
+    Attributes
+    ----------
+    host : str
+        Host that requested the probe and receives the result.
+    reported : bool
+        Whether a failure was reported; a later success is reported as well.
+    """
 
     host: str
     request_id: str
     endpoint: str
-    asked_at: float
+    started_at: float
     reported: bool = False
 
 
 @attrs.define(kw_only=True)
 class ReachabilityState:
-    """Probes that this node makes for others, by probe id."""
+    """Probes that this node makes for other hosts, keyed by probe id."""
 
-    probes: dict[str, AskedProbe] = attrs.field(factory=dict)
+    probes: dict[str, PeerProbe] = attrs.field(factory=dict)
 
 
 def choose_hosts(board) -> list[str]:
-    """Return the hosts to ask: in other places first, in many places."""
+    """Return the hosts to ask for a probe.
+
+    They are spread over as many places as possible, and hosts in the place of
+    this node come last.
+    """
     peers = terms.find_peers(board)
     board.random.shuffle(peers)
-    seen: dict[str, int] = {board.identity.place: len(peers)}
+    chosen_per_place: dict[str, int] = {board.identity.place: len(peers)}
     ranked = []
     for peer in peers:
         place = board.hosts[peer].place
-        ranked.append((seen.get(place, 0), peer))
-        seen[place] = seen.get(place, 0) + 1
+        ranked.append((chosen_per_place.get(place, 0), peer))
+        chosen_per_place[place] = chosen_per_place.get(place, 0) + 1
     ranked.sort(key=lambda pair: pair[0])
-    return [peer for _, peer in ranked[:ASKED_HOSTS]]
+    return [peer for _, peer in ranked[:PROBING_HOSTS]]
 
 
-def ask_hosts(board, endpoint: str, request_id: str) -> list[str]:
-    """Ask other hosts to probe an endpoint; return the hosts."""
+def request_probes(board, endpoint: str, request_id: str) -> list[str]:
+    """Request probes of an endpoint from other hosts; return these hosts."""
     hosts = choose_hosts(board)
     for host in hosts:
         board.act(
@@ -85,7 +98,10 @@
 
 
 def receive_status(board, probe_id: str, status) -> None:
-    """Report the end of a probe that another host asked for."""
+    """Report the result of a probe that another host requested.
+
+    Results of other probes are ignored. ``status`` is None if the probe failed.
+    """
     probe = board.failover.reachability_state.probes.get(probe_id)
     if probe is None:
         return
@@ -97,14 +113,15 @@
 
 
 def step(board, now: float) -> None:
-    """Report failures in time and forget old probes."""
+    """Report probes that timed out and remove expired ones."""
     for probe_id, probe in list(board.failover.reachability_state.probes.items()):
-        if now >= probe.asked_at + KEPT_SECONDS:
+        if now >= probe.started_at + PROBE_EXPIRY_SECONDS:
             del board.failover.reachability_state.probes[probe_id]
-        elif not probe.reported and now >= probe.asked_at + ANSWER_SECONDS:
+        elif not probe.reported and now >= probe.started_at + PROBE_TIMEOUT_SECONDS:
             if board.pause_seconds > 0:
-                # The answer may wait unread in this process.
-                probe.asked_at = now
+                # After a pause of this process the answer may be received but
+                # unread, so the timeout starts again.
+                probe.started_at = now
             else:
                 _report(board, probe, reached=False)
 
@@ -113,18 +130,18 @@
 def _(message: ProbeRequested, board, host: str, now: float) -> None:
     probe_id = board.next_id()
     if message.endpoint not in board.endpoints:
-        # A host that does not know the endpoint cannot tell anything.
+        # A host that does not know the endpoint cannot probe it.
         return
-    board.failover.reachability_state.probes[probe_id] = AskedProbe(
+    board.failover.reachability_state.probes[probe_id] = PeerProbe(
         host=host,
         request_id=message.request_id,
         endpoint=message.endpoint,
-        asked_at=now,
+        started_at=now,
     )
     board.act(base.ProbeStatus(endpoint=message.endpoint, probe_id=probe_id))
 
 
-def _report(board, probe: AskedProbe, *, reached: bool) -> None:
+def _report(board, probe: PeerProbe, *, reached: bool) -> None:
     probe.reported = True
     board.act(
         base.SendPeer(
--- a/hyssopshelf/failover/terms.py
+++ b/hyssopshelf/failover/terms.py
@@ -1,29 +1,34 @@
-"""Knowledge of terms and primaries: learning it and spreading it between nodes."""
+"""Terms and primaries: learned from endpoints and spread between the nodes.
+
+A node that learns a new primary sends it to random peers, which pass it on in
+the same way. Holds of new writes in planned changes are spread likewise.
+"""
 
 import attrs
 
 from hyssopshelf import base, logs, messages
 
 FANOUT = 3
-"""Peers to which a node passes a new fact."""
+"""Number of random peers to which a node passes on what is new to it."""
 
 REPEAT_SECONDS = 10.0
-"""A new primary is repeated to one random peer a second for this time.
+"""Time for which a node repeats a new primary, to one random peer per interval.
 
-Passing a fact on once to three peers misses about 6% of the nodes.
+Without repetition, a message that each node passes on to three peers misses
+about 6% of the nodes.
 """
 
 REPEAT_INTERVAL_SECONDS = 1.0
-"""Time between two repetitions."""
+"""Interval between two repetitions."""
 
-KEPT_CHANGES = 64
-"""Planned changes of a database that a node remembers."""
+MAXIMUM_CHANGES = 64
+"""Number of planned changes that a node keeps per database."""
 
 
 @messages.register("failover.term")
 @attrs.frozen(kw_only=True)
 class TermAnnounced:
-    """An endpoint became the primary of a term."""
+    """Announces that an endpoint became the primary of a term."""
 
     database: str
     term: int
@@ -33,7 +38,7 @@
 @messages.register("failover.writes")
 @attrs.frozen(kw_only=True)
 class WritesHeld:
-    """New writes to a database wait for a planned change of its primary.
+    """Holds new writes to a database during a planned change of its primary.
 
     Attributes
     ----------
@@ -42,7 +47,7 @@
     term : int
         Term that ends with the change.
     remaining_seconds : float
-        Time after which the hold ends by itself; 0 ends it now.
+        Time after which the hold expires; 0 ends it at once.
     """
 
     database: str
@@ -53,26 +58,28 @@
 
 @attrs.define(kw_only=True)
 class TermState:
-    """What a node still spreads.
+    """State of the messages that a node spreads.
 
     Attributes
     ----------
-    recent : dict of str to float
+    repeat_until : dict of str to float
         Time until which the primary of a database is repeated.
     changes : dict of str to dict of str to bool
-        Last planned changes of a database and whether their holds were ended.
+        Last planned changes per database, by id: whether the hold has ended.
+    next_repeat_at : float
+        Time of the next repetition.
     """
 
-    recent: dict[str, float] = attrs.field(factory=dict)
+    repeat_until: dict[str, float] = attrs.field(factory=dict)
     changes: dict[str, dict[str, bool]] = attrs.field(factory=dict)
-    repeat_at: float = float("-inf")
+    next_repeat_at: float = float("-inf")
 
 
 def learn_status(board, status: messages.EndpointStatus) -> None:
     """Learn the term and primary of a database from an endpoint's status.
 
-    An endpoint names a primary only after that one was promoted in the
-    endpoint's term, so one report is enough.
+    A single status is sufficient: an endpoint reports a primary only after that
+    primary was promoted in the endpoint's term.
     """
     endpoint = board.endpoints.get(status.name)
     record = board.databases.get(endpoint.database) if endpoint else None
@@ -84,7 +91,7 @@
 
 
 def learn_primary(board, database: str, term: int, primary: str) -> bool:
-    """Learn the primary of a term; return whether the term is new to this node."""
+    """Record the primary of a term; return whether the term is new to this node."""
     record = board.databases.get(database)
     if record is None or primary not in record.endpoints or term <= record.term:
         return False
@@ -97,17 +104,20 @@
 
 
 def announce(board, database: str, now: float) -> None:
-    """Spread the primary of a database that this node learned first."""
-    board.failover.term_state.recent[database] = now + REPEAT_SECONDS
+    """Spread the primary of a database, which is new to this node."""
+    board.failover.term_state.repeat_until[database] = now + REPEAT_SECONDS
     record = board.databases[database]
-    _pass_on(
+    _gossip(
         board,
         TermAnnounced(database=database, term=record.term, primary=record.primary),
     )
 
 
 def hold_writes(board, database: str, change_id: str, until: float, now: float):
-    """Hold new writes to a database on all nodes; a past ``until`` ends the hold."""
+    """Hold new writes to a database on all nodes.
+
+    The hold ends if ``until`` is not after ``now``.
+    """
     record = board.databases[database]
     message = WritesHeld(
         database=database,
@@ -116,22 +126,22 @@
         remaining_seconds=max(0.0, until - now),
     )
     _apply_hold(board, message, now)
-    _pass_on(board, message, first=board.placement.get(record.primary, ""))
+    _gossip(board, message, required_peer=board.placement.get(record.primary, ""))
 
 
 def step(board, now: float) -> None:
-    """Repeat recent changes of primary to a random peer."""
+    """Repeat recent changes of primary to random peers."""
     if (
-        not board.failover.term_state.recent
-        or now < board.failover.term_state.repeat_at
+        not board.failover.term_state.repeat_until
+        or now < board.failover.term_state.next_repeat_at
     ):
         return
-    board.failover.term_state.repeat_at = now + REPEAT_INTERVAL_SECONDS
+    board.failover.term_state.next_repeat_at = now + REPEAT_INTERVAL_SECONDS
     peers = find_peers(board)
-    for database, until in list(board.failover.term_state.recent.items()):
+    for database, until in list(board.failover.term_state.repeat_until.items()):
         record = board.databases.get(database)
         if record is None or now >= until:
-            del board.failover.term_state.recent[database]
+            del board.failover.term_state.repeat_until[database]
         elif peers:
             message = TermAnnounced(
                 database=database, term=record.term, primary=record.primary
@@ -140,7 +150,7 @@
 
 
 def find_peers(board) -> list[str]:
-    """Return the other hosts that are not dead."""
+    """Return the names of the other hosts that are not dead."""
     own = board.identity.host
     return [
         name
@@ -159,31 +169,31 @@
 def _(message: WritesHeld, board, host: str, now: float) -> None:
     record = board.databases.get(message.database)
     if record is not None and _apply_hold(board, message, now):
-        _pass_on(board, message, first=board.placement.get(record.primary, ""))
+        _gossip(board, message, required_peer=board.placement.get(record.primary, ""))
 
 
 def _apply_hold(board, message: WritesHeld, now: float) -> bool:
-    """Apply a hold or its end; return whether it was new."""
+    """Apply a hold or its end; return whether it was new to this node."""
     record = board.databases[message.database]
     changes = board.failover.term_state.changes.setdefault(message.database, {})
     ends = message.remaining_seconds <= 0
-    # Every change is remembered: with only the last one, the messages of two
-    # changes at the same time would be new to each other without end.
+    # All recent changes are kept. If only the last one were kept, the messages
+    # of two concurrent changes would replace each other and circulate forever.
     ended = changes.get(message.change_id)
     if ended or ends != (ended is False) or message.term < record.term:
         return False
     changes[message.change_id] = ends
-    while len(changes) > KEPT_CHANGES:
+    while len(changes) > MAXIMUM_CHANGES:
         del changes[next(iter(changes))]
     record.held_until = now + message.remaining_seconds if not ends else float("-inf")
     return True
 
 
-def _pass_on(board, message, first: str = "") -> None:
-    """Send a message to random peers, and to the host ``first`` if it is known."""
+def _gossip(board, message, required_peer: str = "") -> None:
+    """Send a message to random peers, and to ``required_peer`` if it is one."""
     peers = find_peers(board)
     chosen = board.random.sample(peers, min(FANOUT, len(peers)))
-    if first in peers and first not in chosen:
-        chosen.append(first)
+    if required_peer in peers and required_peer not in chosen:
+        chosen.append(required_peer)
     for peer in chosen:
         board.act(base.SendPeer(host=peer, message=message))
--- a/hyssopshelf/failover/tests/test_confirmation.py
+++ b/hyssopshelf/failover/tests/test_confirmation.py
@@ -110,7 +110,7 @@
     board = build_board()
     ticket = file_ticket(board, TERM, 1.0)
     old = take_probe(board)
-    confirmation.settle(board, 1.0 + confirmation.ROUND_SECONDS)
+    confirmation.settle(board, 1.0 + confirmation.ROUND_TIMEOUT_SECONDS)
     new = take_probe(board)
     confirmation.receive_status(board, ENDPOINTS[0], new, build_status(), 1.3)
     confirmation.receive_status(board, ENDPOINTS[1], old, build_status(), 1.3)
