--- a/hyssopshelf/failover/detection.py
+++ b/hyssopshelf/failover/detection.py
@@ -1,14 +1,15 @@
 """Detection of primaries that must be replaced.
 
-A primary is replaced when, for two seconds,
+A primary is replaced if one of these conditions holds for two seconds:
 
-(a) neither this node nor one of the hosts that it asked reaches the primary,
-    and no replica hears it, or
-(b) a majority of the group does not hear it although it takes connections, or
+(a) neither this node nor enough of the hosts that it asked reach the primary,
+    and no replica hears from it;
+(b) a majority of the group does not hear from it although it accepts
+    connections;
 (c) a majority answers and no endpoint is primary in the highest known term.
 
-The two seconds count from the last sign of life that anyone reports, and the
-probes that fail are spread over them.
+The two seconds start at the last sign of life that any host or endpoint
+reports, and the failed probes are spread over them.
 """
 
 import attrs
@@ -25,55 +26,60 @@
 )
 
 POLL_SECONDS = 1.0
-"""Time between two polls by the first watcher; longer by rank for the others."""
+"""Interval between polls by the first watcher; longer by rank for the others."""
 
 SUSPICIOUS_POLL_SECONDS = 0.1
-"""Time between two polls while the primary may be lost."""
+"""Interval between polls while the primary is under suspicion."""
 
-SUSPICION_SECONDS = 5.0
-"""After this time of suspicion polls take their normal interval again.
+FAST_POLLING_SECONDS = 5.0
+"""Time after which polls of a suspected primary return to the normal interval.
 
-A primary that is slow for long must not cost more than a healthy one.
+A primary that stays slow must not cause more polls than a healthy one.
 """
 
-ASK_SECONDS = 0.5
-"""Time between two questions to other hosts."""
+PROBE_REQUEST_SECONDS = 0.5
+"""Interval between requests for probes by other hosts."""
 
 REFRESH_SECONDS = 1.0
-"""Time between two computations of the watched databases."""
+"""Interval between checks whether the watched databases changed."""
 
-REVIEW_SECONDS = 10.0
-"""Time after which the watched databases are computed even if nothing told of a
-change. At the target size a computation takes 10 to 30 ms."""
+MAXIMUM_REFRESH_SECONDS = 10.0
+"""Interval after which the watched databases are computed without a known change.
 
-FOLLOW_SECONDS = 0.5
-"""Time between two orders to the same endpoint to follow the primary."""
+At the target size a computation takes 10 to 30 ms.
+"""
+
+FOLLOW_RETRY_SECONDS = 0.5
+"""Interval between orders to the same endpoint to follow the primary."""
 
-REPAIR_SECONDS = 3.0
-"""Time after which an endpoint left behind in a higher term gets a new term."""
+TERM_REPAIR_SECONDS = 3.0
+"""Time after which an endpoint in a higher term than the primary's is repaired."""
 
-LEARNED_DATABASES = 20
-"""Databases without a known primary that a node asks about in a second."""
+UNKNOWN_PRIMARY_BATCH = 20
+"""Databases without a known primary that are polled per refresh."""
 
-KEPT_UNANSWERED = 20
-"""Unanswered polls that are remembered."""
+MAXIMUM_UNANSWERED_POLLS = 20
+"""Number of unanswered polls that are kept per database."""
 
-PROGRESS_SECONDS = 1.5
-"""Time given to another promoter after it has raised a term."""
+PROMOTER_PROGRESS_SECONDS = 1.5
+"""Time for which a watcher waits for another promoter that has raised a term."""
 
-MOVE_SECONDS = 5.0
-"""Time between two attempts to move a primary off a leaving endpoint."""
+MOVE_RETRY_SECONDS = 5.0
+"""Interval between attempts to move a primary off a leaving endpoint."""
 
 POLL_EXPIRY_SECONDS = 15.0
-"""Time after which an unanswered probe is forgotten."""
+"""Time after which an unanswered poll is removed."""
 
-STALE_POLL_SECONDS = 3.0
-"""Age of the own last poll, beyond its interval, that tells of a pause."""
+PAUSE_SECONDS = 3.0
+"""Delay of a poll beyond its interval that indicates a pause of this node."""
 
 
 @attrs.frozen(kw_only=True)
 class Poll:
-    """A poll of all endpoints of a database."""
+    """A status poll of endpoints of a database.
+
+    ``waiting`` holds the endpoints whose probe has not ended yet.
+    """
 
     database: str
     asked_at: float
@@ -82,24 +88,41 @@
 
 @attrs.define(kw_only=True)
 class DetectionState:
-    """Detection state of a node; ``polls`` is keyed by probe id.
-
-    ``hosts_key`` and ``databases_key`` tell for which hosts and databases the
-    watches were computed. ``complete`` tells that each of these databases has a
-    known primary or is watched.
+    """Detection state of a node.
+
+    Attributes
+    ----------
+    ring : DatabaseRing
+        Databases for which the watches were computed.
+    hosts : set of str
+        Hosts for which the watches were computed.
+    watches : dict of str to Watch
+        Watched databases.
+    polls : dict of str to Poll
+        Open polls by probe id.
+    probe_requests : dict of str to str
+        Database by id of a request for probes by other hosts.
+    refreshed_at, computed_at : float
+        Times of the last check for changes and of the last computation.
+    hosts_key, databases_key : tuple
+        Versions of the hosts and databases at the last computation.
+    all_primaries_known : bool
+        Whether each database has a known primary or is watched.
+    next_unknown_offset : int
+        Position in the databases without a known primary to continue from.
     """
 
     ring: watchers.DatabaseRing = attrs.field(factory=watchers.DatabaseRing)
     hosts: set[str] = attrs.field(factory=set)
     watches: dict[str, observations.Watch] = attrs.field(factory=dict)
     polls: dict[str, Poll] = attrs.field(factory=dict)
-    questions: dict[str, str] = attrs.field(factory=dict)
+    probe_requests: dict[str, str] = attrs.field(factory=dict)
     refreshed_at: float = float("-inf")
-    reviewed_at: float = float("-inf")
+    computed_at: float = float("-inf")
     hosts_key: tuple = ()
     databases_key: tuple = ()
-    complete: bool = False
-    next_unknown: int = 0
+    all_primaries_known: bool = False
+    next_unknown_offset: int = 0
 
 
 def step(board, now: float) -> None:
@@ -109,29 +132,29 @@
         restart_observations(board, now)
     if now >= state.refreshed_at + REFRESH_SECONDS:
         state.refreshed_at = now
-        if _has_changed(board, now):
+        if _needs_refresh(board, now):
             _refresh_watches(board, now)
-            state.complete = False
-        if not state.complete:
-            _ask_for_unknown(board, now)
-        _forget_old_polls(state, now)
+            state.all_primaries_known = False
+        if not state.all_primaries_known:
+            _request_unknown_primaries(board, now)
+        _remove_expired_polls(state, now)
     for database, watch in state.watches.items():
-        _observe(board, database, watch, now)
+        _step_watch(board, database, watch, now)
     reachability.step(board, now)
     terms.step(board, now)
 
 
 def restart_observations(board, now: float) -> None:
-    """Forget what was observed before a pause of this node."""
+    """Discard the observations made before a pause of this node."""
     state = board.failover.detection_state
     state.polls.clear()
-    state.questions.clear()
+    state.probe_requests.clear()
     for watch in state.watches.values():
         observations.restart(watch, watch.term, now)
 
 
 def request_primary(board, database: str, now: float) -> None:
-    """Ask the endpoints of a database for its primary."""
+    """Poll the endpoints of a database to learn its primary."""
     record = board.databases.get(database)
     if record is not None:
         _send_poll(board, database, record.endpoints, now)
@@ -144,7 +167,10 @@
     status: messages.EndpointStatus | None,
     now: float,
 ) -> None:
-    """Use the end of any status probe of this node."""
+    """Process the result of any status probe of this node.
+
+    ``status`` is None if the probe failed.
+    """
     known = board.endpoints.get(endpoint)
     if known is not None and status is not None:
         terms.learn_status(board, status)
@@ -162,39 +188,39 @@
             known.status_asked_at = poll.asked_at
         watch = board.failover.detection_state.watches.get(poll.database)
         if watch is not None:
-            _note_report(board, poll, watch, endpoint, status, now)
+            _record_report(board, poll, watch, endpoint, status, now)
     elif status is None:
-        _note_silence(board, poll, endpoint)
+        _record_failed_poll(board, poll, endpoint)
 
 
 @base.receive.register
 def _(message: reachability.ProbeReported, board, host: str, now: float) -> None:
-    database = board.failover.detection_state.questions.get(message.request_id)
+    database = board.failover.detection_state.probe_requests.get(message.request_id)
     watch = board.failover.detection_state.watches.get(database or "")
     record = board.databases.get(database or "")
     if watch is None or record is None or record.primary != message.endpoint:
         return
     if message.reached:
-        watch.alive_at = now
-        watch.unreached.clear()
+        watch.last_alive_at = now
+        watch.unreached_at.clear()
     else:
-        watch.unreached[host] = now
+        watch.unreached_at[host] = now
 
 
-def _has_changed(board, now: float) -> bool:
+def _needs_refresh(board, now: float) -> bool:
     """Return whether the watched databases may differ from the last computation."""
     state = board.failover.detection_state
     hosts_key = (board.membership.version, len(board.hosts), board.draining)
     databases_key = (board.configuration.changes, len(board.databases))
     changed = hosts_key != state.hosts_key
     if databases_key != state.databases_key:
-        # Most documents change other things than the names of databases.
+        # Most changes of documents leave the names of databases as they are.
         changed = changed or state.ring.names != board.databases.keys()
         state.databases_key = databases_key
-        state.complete = False
-    if not changed and now < state.reviewed_at + REVIEW_SECONDS:
+        state.all_primaries_known = False
+    if not changed and now < state.computed_at + MAXIMUM_REFRESH_SECONDS:
         return False
-    state.reviewed_at = now
+    state.computed_at = now
     state.hosts_key = hosts_key
     return True
 
@@ -219,33 +245,33 @@
         if watch is None:
             term = board.databases[database].term
             state.watches[database] = observations.Watch(
-                rank=rank, term=term, since=now, alive_at=now
+                rank=rank, term=term, started_at=now, last_alive_at=now
             )
         else:
             watch.rank = rank
 
 
-def _ask_for_unknown(board, now: float) -> None:
+def _request_unknown_primaries(board, now: float) -> None:
     unknown = [
         name
         for name, record in board.databases.items()
         if not record.primary and name not in board.failover.detection_state.watches
     ]
-    board.failover.detection_state.complete = not unknown
-    first = board.failover.detection_state.next_unknown
-    board.failover.detection_state.next_unknown += LEARNED_DATABASES
-    for step_number in range(min(LEARNED_DATABASES, len(unknown))):
+    board.failover.detection_state.all_primaries_known = not unknown
+    first = board.failover.detection_state.next_unknown_offset
+    board.failover.detection_state.next_unknown_offset += UNKNOWN_PRIMARY_BATCH
+    for step_number in range(min(UNKNOWN_PRIMARY_BATCH, len(unknown))):
         request_primary(board, unknown[(first + step_number) % len(unknown)], now)
 
 
-def _forget_old_polls(state: DetectionState, now: float) -> None:
-    # Polls are kept in the order in which they were sent.
+def _remove_expired_polls(state: DetectionState, now: float) -> None:
+    # Polls are stored in the order in which they were sent.
     for probe_id, poll in list(state.polls.items()):
         if now < poll.asked_at + POLL_EXPIRY_SECONDS:
             break
         del state.polls[probe_id]
-    while len(state.questions) > 64 + len(state.watches):
-        del state.questions[next(iter(state.questions))]
+    while len(state.probe_requests) > 64 + len(state.watches):
+        del state.probe_requests[next(iter(state.probe_requests))]
 
 
 def _send_poll(board, database: str, endpoints, now: float) -> None:
@@ -257,16 +283,16 @@
         board.act(base.ProbeStatus(endpoint=endpoint, probe_id=probe_id))
 
 
-def _note_silence(board, poll: Poll, endpoint: str) -> None:
+def _record_failed_poll(board, poll: Poll, endpoint: str) -> None:
     watch = board.failover.detection_state.watches.get(poll.database)
     record = board.databases.get(poll.database)
     if watch is None or record is None or record.primary != endpoint:
         return
     if poll.asked_at in watch.unanswered:
-        watch.failed_at = max(watch.failed_at, poll.asked_at)
+        watch.last_failed_at = max(watch.last_failed_at, poll.asked_at)
 
 
-def _note_report(
+def _record_report(
     board, poll: Poll, watch: observations.Watch, endpoint, status, now
 ) -> None:
     record = board.databases[poll.database]
@@ -274,7 +300,9 @@
         observations.restart(watch, record.term, now)
     if status.term > watch.highest_term:
         watch.highest_term = status.term
-        if status.term > board.failover.promotion_state.proposed.get(record.name, 0):
+        if status.term > board.failover.promotion_state.proposed_terms.get(
+            record.name, 0
+        ):
             watch.progress_at = now
     previous = watch.reports.get(endpoint)
     if previous is None or previous.asked_at <= poll.asked_at:
@@ -282,16 +310,20 @@
             previous, poll.asked_at, status, now
         )
     if endpoint == record.primary:
-        watch.alive_at = now
+        watch.last_alive_at = now
         watch.unanswered = [at for at in watch.unanswered if at > poll.asked_at]
-        watch.unreached.clear()
+        watch.unreached_at.clear()
     elif status.primary == record.primary:
-        watch.alive_at = max(watch.alive_at, watch.reports[endpoint].heard_at)
-    _note_discarded(board, watch, endpoint, status)
-    _lead_follower(board, record, watch, endpoint, status, now)
+        watch.last_alive_at = max(
+            watch.last_alive_at, watch.reports[endpoint].primary_heard_at
+        )
+    _record_discarded_writes(board, watch, endpoint, status)
+    _order_follow_if_needed(board, record, watch, endpoint, status, now)
 
 
-def _note_discarded(board, watch: observations.Watch, endpoint: str, status) -> None:
+def _record_discarded_writes(
+    board, watch: observations.Watch, endpoint: str, status
+) -> None:
     previous = watch.discarded.get(endpoint, status.discarded)
     watch.discarded[endpoint] = status.discarded
     if status.discarded > previous:
@@ -305,10 +337,10 @@
         )
 
 
-def _lead_follower(
+def _order_follow_if_needed(
     board, record, watch: observations.Watch, endpoint, status, now
 ) -> None:
-    """Tell an endpoint that does not follow the primary to do so."""
+    """Order an endpoint that does not follow the primary to do so."""
     if not record.primary or endpoint == record.primary:
         return
     if status.term > record.term or (
@@ -317,36 +349,36 @@
         return
     if record.name in board.failover.promotion_state.running:
         return
-    if now < watch.followed_at.get(endpoint, float("-inf")) + FOLLOW_SECONDS:
+    if now < watch.followed_at.get(endpoint, float("-inf")) + FOLLOW_RETRY_SECONDS:
         return
     watch.followed_at[endpoint] = now
     promotion.order_follow(board, record, endpoint)
 
 
-def _observe(board, database: str, watch: observations.Watch, now: float) -> None:
+def _step_watch(board, database: str, watch: observations.Watch, now: float) -> None:
     record = board.databases.get(database)
     if record is None:
         return
     if record.term > watch.term:
         observations.restart(watch, record.term, now)
     interval = _compute_poll_interval(watch, now)
-    if watch.polled_at > watch.since and (
-        now > watch.polled_at + interval + STALE_POLL_SECONDS
+    if watch.polled_at > watch.started_at and (
+        now > watch.polled_at + interval + PAUSE_SECONDS
     ):
         observations.restart(watch, watch.term, now)
     if now >= watch.polled_at + interval:
         watch.polled_at = now
         if record.primary:
-            watch.unanswered = [*watch.unanswered[-KEPT_UNANSWERED:], now]
+            watch.unanswered = [*watch.unanswered[-MAXIMUM_UNANSWERED_POLLS:], now]
         _send_poll(board, database, record.endpoints, now)
     _update_suspicion(board, record, watch, now)
     if database in board.failover.promotion_state.running:
         return
     if watch.suspicious_since is not None:
-        _ask_other_hosts(board, record, watch, now)
-        _decide(board, record, watch, now)
+        _request_peer_probes(board, record, watch, now)
+        _replace_if_lost(board, record, watch, now)
     elif watch.rank == 0:
-        _move_from_leaving(board, record, watch, now)
+        _move_off_leaving(board, record, watch, now)
 
 
 def _update_suspicion(board, record, watch: observations.Watch, now: float) -> None:
@@ -360,83 +392,86 @@
 
 
 def _compute_poll_interval(watch: observations.Watch, now: float) -> float:
-    delay = watch.rank * observations.RANK_SECONDS
+    delay = watch.rank * observations.RANK_DELAY_SECONDS
     since = watch.suspicious_since
-    if since is not None and now < since + SUSPICION_SECONDS + delay:
+    if since is not None and now < since + FAST_POLLING_SECONDS + delay:
         return SUSPICIOUS_POLL_SECONDS
     return POLL_SECONDS * (1 + watch.rank)
 
 
-def _ask_other_hosts(board, record, watch: observations.Watch, now: float) -> None:
-    if not watch.count_unanswered(now) or now < watch.asked_at + ASK_SECONDS:
+def _request_peer_probes(board, record, watch: observations.Watch, now: float) -> None:
+    if not watch.count_unanswered(now) or now < watch.asked_at + PROBE_REQUEST_SECONDS:
         return
     watch.asked_at = now
     request_id = board.next_id()
-    board.failover.detection_state.questions[request_id] = record.name
-    watch.asked = len(reachability.request_probes(board, record.primary, request_id))
+    board.failover.detection_state.probe_requests[request_id] = record.name
+    watch.asked_hosts = len(
+        reachability.request_probes(board, record.primary, request_id)
+    )
 
 
-def _decide(board, record, watch: observations.Watch, now: float) -> None:
-    window = observations.LOST_SECONDS + watch.rank * observations.RANK_SECONDS
-    fresh = observations.find_fresh(watch, now)
+def _replace_if_lost(board, record, watch: observations.Watch, now: float) -> None:
+    window = observations.LOST_SECONDS + watch.rank * observations.RANK_DELAY_SECONDS
+    fresh = observations.find_fresh_reports(watch, now)
     if len(fresh) < confirmation.compute_majority(len(record.endpoints)):
-        # Without a majority nothing can be fenced.
-        watch.leaderless_since = None
+        # Without a majority no promotion can succeed.
+        watch.no_primary_since = None
         return
-    observations.update_leaderless(record, watch, fresh, now)
-    early = now - window + leases.PREPARE_SECONDS
+    observations.update_no_primary(record, watch, fresh, now)
+    early = now - window + leases.REQUEST_LEAD_SECONDS
     if observations.find_reason(record, watch, fresh, early, now) is None:
-        _repair_left_behind(board, record, watch, fresh, now)
+        _repair_higher_term(board, record, watch, fresh, now)
         return
-    leases.prepare(board, record.name, now)
+    leases.request_lease(board, record.name, now)
     reason = observations.find_reason(record, watch, fresh, now - window, now)
-    if reason is None or now < watch.progress_at + PROGRESS_SECONDS:
+    if reason is None or now < watch.progress_at + PROMOTER_PROGRESS_SECONDS:
         return
     if (
         reason is promotion.Reason.UNREACHABLE
-        and not observations.is_unreached_elsewhere(watch, now)
+        and not observations.is_unreached_by_peers(watch, now)
     ):
         return
     excluded = record.primary
-    if reason is promotion.Reason.LEADERLESS:
+    if reason is promotion.Reason.NO_PRIMARY:
         excluded = ""
     promotion.start(board, record.name, reason, excluded, now)
 
 
-def _repair_left_behind(
+def _repair_higher_term(
     board, record, watch: observations.Watch, fresh: dict, now: float
 ) -> None:
-    """Start a new term if an endpoint was fenced by a promoter that gave up.
+    """Start a new term if an endpoint is fenced in a term that has no primary.
 
-    Such an endpoint cannot follow the primary of an older term.
+    A promoter that gave up leaves such endpoints. They cannot follow the primary
+    of an older term.
     """
-    delay = watch.rank * observations.RANK_SECONDS
+    delay = watch.rank * observations.RANK_DELAY_SECONDS
     primary = fresh.get(record.primary)
-    left_behind = any(report.status.term > record.term for report in fresh.values())
-    if primary is None or not left_behind or watch.leaderless_since is not None:
-        watch.left_behind_since = None
-    elif watch.left_behind_since is None:
-        watch.left_behind_since = now
-    elif now >= watch.left_behind_since + REPAIR_SECONDS + delay:
-        watch.left_behind_since = None
+    in_higher_term = any(report.status.term > record.term for report in fresh.values())
+    if primary is None or not in_higher_term or watch.no_primary_since is not None:
+        watch.higher_term_since = None
+    elif watch.higher_term_since is None:
+        watch.higher_term_since = now
+    elif now >= watch.higher_term_since + TERM_REPAIR_SECONDS + delay:
+        watch.higher_term_since = None
         promotion.request_change(board, record.name, record.primary, now)
 
 
-def _move_from_leaving(board, record, watch: observations.Watch, now: float) -> None:
-    """Start a planned change if the primary is leaving."""
+def _move_off_leaving(board, record, watch: observations.Watch, now: float) -> None:
+    """Start a planned change of primary if the current one is leaving."""
     primary = board.endpoints.get(record.primary)
     if primary is None or primary.leaving_at is None:
         return
-    if now < watch.moved_at + MOVE_SECONDS:
+    if now < watch.move_started_at + MOVE_RETRY_SECONDS:
         return
     candidates = [
         (report.status.position, name)
-        for name, report in observations.find_fresh(watch, now).items()
+        for name, report in observations.find_fresh_reports(watch, now).items()
         if name != record.primary
         and name in board.endpoints
         and board.endpoints[name].leaving_at is None
         and report.status.primary == record.primary
     ]
     if candidates:
-        watch.moved_at = now
+        watch.move_started_at = now
         promotion.request_change(board, record.name, max(candidates)[1], now)
--- a/hyssopshelf/failover/leases.py
+++ b/hyssopshelf/failover/leases.py
@@ -1,8 +1,9 @@
-"""The store's part in a change of primary: a lease and a record.
+"""Store calls of a change of primary: a lease and a record of the new primary.
 
-Neither is needed for a promotion. The lease only keeps promoters from
-competing, so it is asked for while the primary is still under suspicion, and a
-missing answer delays nothing. The record tells operators who is primary.
+Neither is required for a promotion. The lease only keeps promoters from
+competing. It is requested while the primary is still under suspicion, and a
+promotion does not wait for the answer of the store. The record tells operators
+which endpoint is the primary.
 """
 
 import json
@@ -12,21 +13,21 @@
 
 from hyssopshelf import base, exceptions, logs, messages, platform
 
-PREPARE_SECONDS = 0.6
-"""Time before a promotion at which its lease is asked for."""
+REQUEST_LEAD_SECONDS = 0.6
+"""Time before the earliest promotion at which its lease is requested."""
 
 LEASE_SECONDS = 3.0
-"""Time to live of the lease; a promoter that dies blocks nobody for longer."""
+"""Time to live of the lease, in case its holder dies."""
 
-BLOCKED_SECONDS = 1.0
-"""Time for which another node's lease blocks this one.
+BLOCK_SECONDS = 1.0
+"""Time for which the lease of another node blocks promotions of this node.
 
-A holder that is alive raises a term within this time, and the watchers wait for
-it after that. A holder that is dead must not delay its successor for long.
+A live holder raises a term within this time, which makes the other watchers
+wait for it. A dead holder must not delay its successor for longer.
 """
 
 RETRY_SECONDS = 5.0
-"""Time between attempts to write the record."""
+"""Interval between attempts to write the record."""
 
 
 @attrs.frozen(kw_only=True)
@@ -39,24 +40,26 @@
 
 @attrs.define(kw_only=True)
 class Lease:
-    """A lease of this node, or its knowledge that another node holds it.
+    """A lease that this node requested, and whether another node holds the promotion.
 
     Attributes
     ----------
-    lease : int
-        Id in the store, 0 until it is granted.
+    requested_at : float
+        Time of the request.
+    lease_id : int
+        Id of the lease in the store, 0 until it is granted.
     blocked_until : float
-        Time until which this node leaves the promotion to another one.
+        Time until which this node leaves the promotion to the other node.
     """
 
-    asked_at: float
-    lease: int = 0
+    requested_at: float
+    lease_id: int = 0
     blocked_until: float = float("-inf")
 
 
 @attrs.define(kw_only=True)
 class PendingRecord:
-    """A change of primary that the store does not have yet."""
+    """A change of primary that is not yet written to the store."""
 
     term: int
     primary: str
@@ -65,20 +68,23 @@
 
 @attrs.define(kw_only=True)
 class LeaseState:
-    """Store state of a node; ``calls`` maps a call id to (step, database)."""
+    """Leases and pending records of a node, keyed by database.
+
+    ``calls`` maps the id of a store call to (name of the call, database).
+    """
 
     leases: dict[str, Lease] = attrs.field(factory=dict)
-    pending: dict[str, PendingRecord] = attrs.field(factory=dict)
+    pending_records: dict[str, PendingRecord] = attrs.field(factory=dict)
     calls: dict[str, tuple[str, str]] = attrs.field(factory=dict)
 
 
-def prepare(board, database: str, now: float) -> None:
-    """Ask for the lease of a database unless that was done lately."""
+def request_lease(board, database: str, now: float) -> None:
+    """Request the lease of a database unless the last request is recent."""
     lease = board.failover.lease_state.leases.get(database)
-    if lease is not None and now < lease.asked_at + LEASE_SECONDS:
+    if lease is not None and now < lease.requested_at + LEASE_SECONDS:
         return
-    board.failover.lease_state.leases[database] = Lease(asked_at=now)
-    _call(
+    board.failover.lease_state.leases[database] = Lease(requested_at=now)
+    _call_store(
         board,
         "grant",
         database,
@@ -87,66 +93,68 @@
 
 
 def is_blocked(board, database: str, now: float) -> bool:
-    """Return whether another node holds the lease.
+    """Return whether another node's lease blocks a promotion by this node.
 
-    The time counts on this node's clock, whatever the store says.
+    The block ends by this node's clock, independently of the store.
     """
     lease = board.failover.lease_state.leases.get(database)
     return lease is not None and now < lease.blocked_until
 
 
 def release(board, database: str) -> None:
-    """Give the lease back."""
+    """Release the lease of a database, if this node has one."""
     lease = board.failover.lease_state.leases.pop(database, None)
-    if lease is not None and lease.lease:
-        _call(board, "revoke", database, platform.RevokeLease(lease=lease.lease))
+    if lease is not None and lease.lease_id:
+        _call_store(
+            board, "revoke", database, platform.RevokeLease(lease=lease.lease_id)
+        )
 
 
 def record_primary(board, database: str, term: int, primary: str, now: float) -> None:
-    """Write a change of primary to the store as soon as the store answers."""
-    board.failover.lease_state.pending[database] = PendingRecord(
+    """Write a change of primary to the store, repeatedly until it succeeds."""
+    board.failover.lease_state.pending_records[database] = PendingRecord(
         term=term, primary=primary, next_at=now
     )
     step(board, now)
 
 
 def step(board, now: float) -> None:
-    """Repeat attempts to write records."""
-    for database, pending in list(board.failover.lease_state.pending.items()):
+    """Retry the writes of pending records that are due."""
+    for database, pending in list(board.failover.lease_state.pending_records.items()):
         if now >= pending.next_at:
             pending.next_at = now + RETRY_SECONDS
-            _call(board, "read", database, platform.Get(key=_get_key(database)))
+            _call_store(board, "read", database, platform.Get(key=_get_key(database)))
 
 
 def receive_store(board, call_id: str, result, now: float) -> bool:
-    """Use the end of a store call; return False if it is not of this module."""
+    """Process the result of a store call; return False for a call of another module."""
     call = board.failover.lease_state.calls.pop(call_id, None)
     if call is None:
         return False
     name, database = call
     if not isinstance(result, Ok):
-        # The outcome is unknown. A record is read again before it is written
-        # again, and a lease lapses by itself.
+        # The outcome is unknown. A record is read again before the next attempt
+        # to write it, and a lease expires by itself.
         return True
     value = result.ok_value
     if name == "grant":
-        _claim(board, database, value)
+        _claim_promotion(board, database, value)
     elif name == "claim":
-        _note_claim(board, database, value, now)
+        _handle_claim(board, database, value, now)
     elif name == "read":
-        _write(board, database, value)
+        _write_record(board, database, value)
     elif name == "write" and value.succeeded:
-        _finish_record(board, database, value.current)
+        _remove_written_record(board, database, value.current)
     return True
 
 
-def _claim(board, database: str, lease_id: int) -> None:
+def _claim_promotion(board, database: str, lease_id: int) -> None:
     lease = board.failover.lease_state.leases.get(database)
     if lease is None:
-        _call(board, "revoke", database, platform.RevokeLease(lease=lease_id))
+        _call_store(board, "revoke", database, platform.RevokeLease(lease=lease_id))
         return
-    lease.lease = lease_id
-    _call(
+    lease.lease_id = lease_id
+    _call_store(
         board,
         "claim",
         database,
@@ -159,12 +167,12 @@
     )
 
 
-def _note_claim(board, database: str, swapped: platform.Swapped, now: float) -> None:
+def _handle_claim(board, database: str, swapped: platform.Swapped, now: float) -> None:
     lease = board.failover.lease_state.leases.get(database)
     if lease is None or swapped.succeeded or swapped.current is None:
         return
     if swapped.current.value != board.identity.host.encode():
-        lease.blocked_until = now + BLOCKED_SECONDS
+        lease.blocked_until = now + BLOCK_SECONDS
         board.log(
             logs.LogEvent.PROMOTION_LEFT,
             database=database,
@@ -172,14 +180,14 @@
         )
 
 
-def _write(board, database: str, entry: platform.Entry | None) -> None:
-    pending = board.failover.lease_state.pending.get(database)
+def _write_record(board, database: str, entry: platform.Entry | None) -> None:
+    pending = board.failover.lease_state.pending_records.get(database)
     if pending is None:
         return
     if entry is not None and _read_term(entry) >= pending.term:
-        del board.failover.lease_state.pending[database]
+        del board.failover.lease_state.pending_records[database]
         return
-    _call(
+    _call_store(
         board,
         "write",
         database,
@@ -193,14 +201,14 @@
     )
 
 
-def _finish_record(board, database: str, entry: platform.Entry) -> None:
-    pending = board.failover.lease_state.pending.get(database)
+def _remove_written_record(board, database: str, entry: platform.Entry) -> None:
+    pending = board.failover.lease_state.pending_records.get(database)
     if pending is not None and _read_term(entry) >= pending.term:
-        del board.failover.lease_state.pending[database]
+        del board.failover.lease_state.pending_records[database]
 
 
 def encode_record(record: PrimaryRecord) -> bytes:
-    """Return the stored form of a record."""
+    """Return the JSON encoding of a record as it is stored."""
     return json.dumps(messages.unstructure(record)).encode()
 
 
@@ -216,7 +224,7 @@
     return f"failover/{database}"
 
 
-def _call(board, name: str, database: str, operation) -> None:
+def _call_store(board, name: str, database: str, operation) -> None:
     call_id = board.next_id()
     board.failover.lease_state.calls[call_id] = (name, database)
     board.act(base.CallStore(call_id=call_id, operation=operation))
--- a/hyssopshelf/failover/promotion.py
+++ b/hyssopshelf/failover/promotion.py
@@ -1,10 +1,10 @@
 """Fencing and promotion: the change of a database's primary.
 
-A promotion proposes a term above every known one, has a majority of the group
-fenced for it, promotes the most advanced log among the fenced endpoints and
-tells the others to follow. Each attempt has its own promoter id, so two
-promoters cannot both get a majority for one term, and an attempt that stops at
-any step is replaced by one with a higher term.
+A promotion proposes a term above every known one, fences a majority of the
+group for it, promotes the fenced endpoint with the most advanced log and orders
+the others to follow. Each attempt has its own promoter id, so two promoters
+cannot both get a majority for one term. An attempt that stops at any step is
+superseded by one with a higher term.
 """
 
 import enum
@@ -18,57 +18,66 @@
 HOLD_SECONDS = 0.5
 """Time between the fence of a majority and the promotion.
 
-An acknowledgement leaves within 0.2 s of the start of the round that confirmed
-it. The rest covers clocks that run at different rates.
+An acknowledgement is sent within 0.2 s of the start of the round that confirmed
+it. The remainder covers clocks that run at different rates.
 """
 
 ACKNOWLEDGEMENT_SECONDS = 0.22
 """Shorter time that suffices if the old primary is fenced and may be chosen.
 
-Acknowledgements that were confirmed before the fence still leave within 0.2 s.
-What was acknowledged is then in the log of the new primary, so the margin only
-has to cover the order of the acknowledgement and the promotion.
+Acknowledgements that were confirmed before the fence are still sent within
+0.2 s. The acknowledged writes are then in the log of the new primary, so the
+margin only has to keep the acknowledgement before the promotion.
 """
 
-RETRY_SECONDS = 0.25
-"""Time between repetitions of an unanswered control call."""
+CALL_RETRY_SECONDS = 0.25
+"""Interval between repetitions of an unanswered control call."""
 
-FENCE_SECONDS = 2.0
+FENCE_TIMEOUT_SECONDS = 2.0
 """Time within which a majority must grant the fence."""
 
-PROMOTE_SECONDS = 1.5
+PROMOTE_TIMEOUT_SECONDS = 1.5
 """Time within which the chosen endpoint must become primary."""
 
-CATCH_UP_SECONDS = 2.0
-"""Time within which the target of a planned change must have the whole log."""
+CATCH_UP_TIMEOUT_SECONDS = 2.0
+"""Time within which the target of a planned change must have the full log."""
 
-SETTLE_SECONDS = 0.1
-"""Time for the hold of new writes to reach the nodes in a planned change."""
+HOLD_SPREAD_SECONDS = 0.1
+"""Time for the hold of new writes to reach all nodes in a planned change."""
 
-QUIET_SECONDS = 0.05
-"""Time without a new entry that shows that writes in flight have ended."""
+LOG_IDLE_SECONDS = 0.05
+"""Time without a new log entry after which no write counts as in flight."""
 
-PROBE_SECONDS = 0.05
-"""Time between two comparisons of the logs in a planned change."""
+LOG_POLL_SECONDS = 0.05
+"""Interval between comparisons of the logs in a planned change."""
 
-GRACE_SECONDS = 0.3
-"""Time that a planned change waits for its target after a majority is fenced."""
+TARGET_GRACE_SECONDS = 0.3
+"""Time after the fence of a majority that a planned change waits for its target."""
 
 BACKOFF_SECONDS = 0.3
-"""Shortest time between two attempts; up to three times as long at random."""
+"""Minimum time between two attempts; randomized up to three times as long."""
 
 
 class Reason(enum.Enum):
-    """Why a primary is replaced."""
+    """Reason for which a primary is replaced; the values appear in logs.
+
+    ``UNREACHABLE``: neither hosts nor replicas reach the primary. ``ISOLATED``:
+    it accepts connections, but a majority of its group does not hear from it.
+    ``NO_PRIMARY``: a majority answers and no endpoint is primary. ``PLANNED``:
+    the change was requested.
+    """
 
     UNREACHABLE = "unreachable"
-    CUT_OFF = "cut_off"
-    LEADERLESS = "leaderless"
+    ISOLATED = "cut_off"
+    NO_PRIMARY = "leaderless"
     PLANNED = "planned"
 
 
 class Phase(enum.Enum):
-    """Phases of a promotion."""
+    """Phase of a promotion; the values appear in logs.
+
+    ``CATCHING_UP``: the target of a planned change fetches the end of the log.
+    """
 
     CATCHING_UP = "catching_up"
     FENCING = "fencing"
@@ -86,18 +95,18 @@
     target : str
         Endpoint to prefer among equally advanced logs.
     excluded : str
-        Endpoint that must not become primary and does not count to the
-        majority, because it was lost or is cut off from the group.
+        Endpoint that must not become primary and does not count toward the
+        majority, because it is lost or isolated from the group.
     old_primary : str
         Primary of the term just below the proposed one, empty if unknown.
     grants : dict of str to EndpointStatus
         State of the endpoints that granted the fence, after the grant.
     fenced_at : float or None
         Time at which a majority had granted it.
-    end, target_end : Position or None
+    log_end, target_log_end : Position or None
         Log ends of the old primary and the target of a planned change.
-    ended_at : float
-        Time at which the old primary's log end was first seen.
+    log_end_seen_at : float
+        Time at which ``log_end`` was first seen.
     """
 
     database: str
@@ -115,9 +124,9 @@
     fenced_at: float | None = None
     next_call_at: float = float("-inf")
     chosen: str = ""
-    end: messages.Position | None = None
-    target_end: messages.Position | None = None
-    ended_at: float = float("inf")
+    log_end: messages.Position | None = None
+    target_log_end: messages.Position | None = None
+    log_end_seen_at: float = float("inf")
 
 
 @attrs.define(kw_only=True)
@@ -127,27 +136,31 @@
     Attributes
     ----------
     running : dict of str to Promotion
-        By database.
-    calls : dict of str to str
-        Database by id of a control call or probe, for the running promotions.
-    proposed : dict of str to int
-        Highest term that this node proposed by database.
-    not_before : dict of str to float
-        Earliest next attempt by database.
+        Running promotions by database.
+    calls : dict of str to tuple of (str, str)
+        (Database, promoter id) by id of a control call or probe.
+    proposed_terms : dict of str to int
+        Highest term that this node proposed, by database.
+    earliest_start : dict of str to float
+        Earliest time of the next attempt, by database.
     """
 
     running: dict[str, Promotion] = attrs.field(factory=dict)
     calls: dict[str, tuple[str, str]] = attrs.field(factory=dict)
-    proposed: dict[str, int] = attrs.field(factory=dict)
-    not_before: dict[str, float] = attrs.field(factory=dict)
+    proposed_terms: dict[str, int] = attrs.field(factory=dict)
+    earliest_start: dict[str, float] = attrs.field(factory=dict)
 
 
 def start(board, database: str, reason: Reason, excluded: str, now: float) -> bool:
-    """Start to replace the primary of a database; return whether it started."""
+    """Start to replace the primary of a database; return whether it started.
+
+    It does not start during another attempt, in the delay after a failed one or
+    while another node holds the lease.
+    """
     state = board.failover.promotion_state
     if database in state.running or database not in board.databases:
         return False
-    if now < state.not_before.get(database, now):
+    if now < state.earliest_start.get(database, now):
         return False
     if leases.is_blocked(board, database, now):
         return False
@@ -157,7 +170,7 @@
         reason=reason,
         phase=Phase.FENCING,
         started_at=now,
-        deadline=now + FENCE_SECONDS,
+        deadline=now + FENCE_TIMEOUT_SECONDS,
         excluded=excluded,
     )
     state.running[database] = attempt
@@ -168,8 +181,8 @@
 def request_change(board, database: str, target: str, now: float) -> bool:
     """Start a planned change of primary; return whether it started.
 
-    New writes are held until the target has the end of the log and is primary,
-    or for at most ``CATCH_UP_SECONDS`` more than the target gets to catch up.
+    New writes are held until the target has the full log and is primary, at most
+    for twice ``CATCH_UP_TIMEOUT_SECONDS``.
 
     Parameters
     ----------
@@ -178,8 +191,8 @@
     database : str
         Full name of the database.
     target : str
-        Full name of the endpoint to make primary. The current primary is
-        allowed: it gets a new term that all endpoints of the group can follow.
+        Full name of the endpoint to make primary. If it is the current primary,
+        it gets a new term that all endpoints of the group can follow.
     now : float
         Time on the node's monotonic clock, in seconds.
     """
@@ -187,7 +200,7 @@
     record = board.databases.get(database)
     if record is None or target not in record.endpoints or not record.primary:
         return False
-    if database in state.running or now < state.not_before.get(database, now):
+    if database in state.running or now < state.earliest_start.get(database, now):
         return False
     attempt = Promotion(
         database=database,
@@ -195,11 +208,11 @@
         reason=Reason.PLANNED,
         phase=Phase.CATCHING_UP,
         started_at=now,
-        deadline=now + CATCH_UP_SECONDS,
+        deadline=now + CATCH_UP_TIMEOUT_SECONDS,
         target=target,
     )
     state.running[database] = attempt
-    until = now + 2 * CATCH_UP_SECONDS
+    until = now + 2 * CATCH_UP_TIMEOUT_SECONDS
     terms.hold_writes(board, database, attempt.id, until, now)
     board.log(
         logs.LogEvent.CHANGE_STARTED,
@@ -212,10 +225,10 @@
 
 
 def step(board, now: float) -> None:
-    """Repeat unanswered calls and give up attempts that take too long."""
+    """Repeat unanswered calls and abort attempts that exceed their deadline."""
     for attempt in list(board.failover.promotion_state.running.values()):
         if board.pause_seconds > 0:
-            # Others may have replaced this promoter; look at the group anew.
+            # Another promoter may have taken over during the pause.
             _fail(board, attempt, "this node was paused", now)
         elif attempt.database not in board.databases:
             del board.failover.promotion_state.running[attempt.database]
@@ -225,28 +238,35 @@
 
 
 def receive_status(board, endpoint: str, probe_id: str, status, now: float) -> None:
-    """Use the answer to a probe of a planned change."""
+    """Process the result of a probe of a planned change."""
     attempt = _find_attempt(board, probe_id)
     if attempt is None or attempt.phase is not Phase.CATCHING_UP or status is None:
         return
     primary = board.databases[attempt.database].primary
     if endpoint == primary and status.role is messages.Role.PRIMARY:
         end = _get_end(status)
-        if end != attempt.end:
-            attempt.end = end
-            attempt.ended_at = now
+        if end != attempt.log_end:
+            attempt.log_end = end
+            attempt.log_end_seen_at = now
     if endpoint == attempt.target:
-        attempt.target_end = _get_end(status)
-    settled = max(attempt.started_at + SETTLE_SECONDS, attempt.ended_at + QUIET_SECONDS)
-    if now >= settled and attempt.end is not None and attempt.target_end == attempt.end:
+        attempt.target_log_end = _get_end(status)
+    settled = max(
+        attempt.started_at + HOLD_SPREAD_SECONDS,
+        attempt.log_end_seen_at + LOG_IDLE_SECONDS,
+    )
+    if (
+        now >= settled
+        and attempt.log_end is not None
+        and attempt.target_log_end == attempt.log_end
+    ):
         attempt.phase = Phase.FENCING
-        attempt.deadline = now + FENCE_SECONDS
+        attempt.deadline = now + FENCE_TIMEOUT_SECONDS
         _start_fencing(board, attempt, now)
 
 
 @base.handle.register
 def handle_answer(event: base.ControlAnswered, board, now: float) -> None:
-    """Use the answer to a control call."""
+    """Process the answer to a control call."""
     attempt = _find_attempt(board, event.call_id)
     answer = event.answer
     if answer is not None:
@@ -256,11 +276,11 @@
     if attempt.phase is Phase.FENCING:
         _note_fence(board, attempt, event.endpoint, answer, now)
     elif attempt.phase is Phase.PROMOTING and event.endpoint == attempt.chosen:
-        _note_promotion(board, attempt, answer, now)
+        _handle_promotion(board, attempt, answer, now)
 
 
 def order_follow(board, record, endpoint: str) -> None:
-    """Tell an endpoint to follow the known primary of its database."""
+    """Order an endpoint to follow the known primary of its database."""
     order = messages.Follow(term=record.term, primary=record.primary)
     board.log(
         logs.LogEvent.FOLLOW_ORDERED,
@@ -278,8 +298,9 @@
 ) -> str:
     """Return the fenced endpoint with the most advanced log.
 
-    The term of the last entry counts before the index. Among equal logs the
-    target comes first, then endpoints that are not to be avoided.
+    Logs are compared by the term of the last entry, then by its index. Among
+    equal logs the target is preferred, then endpoints that are not in
+    ``avoided``.
     """
     return max(
         grants,
@@ -306,9 +327,9 @@
 def _start_fencing(board, attempt: Promotion, now: float) -> None:
     state = board.failover.promotion_state
     record = board.databases[attempt.database]
-    attempt.term = max(record.fenced_term, state.proposed.get(record.name, 0)) + 1
+    attempt.term = max(record.fenced_term, state.proposed_terms.get(record.name, 0)) + 1
     attempt.old_primary = record.primary if record.term == attempt.term - 1 else ""
-    record.fenced_term = state.proposed[record.name] = attempt.term
+    record.fenced_term = state.proposed_terms[record.name] = attempt.term
     attempt.next_call_at = now
     board.count("failover_promotions_started")
     board.log(
@@ -331,12 +352,12 @@
         return
     record = board.databases[attempt.database]
     if attempt.phase is Phase.CATCHING_UP:
-        attempt.next_call_at = now + PROBE_SECONDS
+        attempt.next_call_at = now + LOG_POLL_SECONDS
         for endpoint in {record.primary, attempt.target}:
             probe_id = _add_call(board, attempt)
             board.act(base.ProbeStatus(endpoint=endpoint, probe_id=probe_id))
         return
-    attempt.next_call_at = now + RETRY_SECONDS
+    attempt.next_call_at = now + CALL_RETRY_SECONDS
     if attempt.phase is Phase.PROMOTING:
         order = messages.Promote(term=attempt.term, promoter=attempt.id)
         _send_call(board, attempt, attempt.chosen, order)
@@ -371,7 +392,7 @@
     counted = [name for name in attempt.grants if name != attempt.excluded]
     if attempt.fenced_at is None and len(counted) >= majority:
         attempt.fenced_at = now
-        attempt.deadline = now + HOLD_SECONDS + FENCE_SECONDS
+        attempt.deadline = now + HOLD_SECONDS + FENCE_TIMEOUT_SECONDS
         board.log(
             logs.LogEvent.PROMOTION_FENCED,
             database=record.name,
@@ -382,15 +403,15 @@
 
 
 def _promote_if_ready(board, attempt: Promotion, now: float) -> None:
-    """Promote the most advanced log once nothing more can be acknowledged."""
+    """Promote the most advanced log once no old write can be acknowledged any more."""
     if attempt.fenced_at is None or attempt.phase is not Phase.FENCING:
         return
     record = board.databases[attempt.database]
-    # The primary of the term just below the proposed one is the only endpoint
-    # whose writes can still be acknowledged by a confirmation made before the
-    # fence. If the primary of that term is unknown, only the grant of all
-    # endpoints shows that none is left. An excluded primary's log is given up
-    # with what it acknowledged, so its own fence shortens nothing.
+    # Only writes of the primary of the term just below the proposed one can still
+    # be acknowledged by a confirmation made before the fence. If that primary is
+    # unknown, only grants of all endpoints show that none is left. The log of an
+    # excluded primary is not a candidate, including the writes acknowledged from
+    # it, so its fence does not shorten the wait.
     candidates = {n: s for n, s in attempt.grants.items() if n != attempt.excluded}
     stopped = attempt.old_primary in candidates or len(candidates) == len(
         record.endpoints
@@ -402,7 +423,7 @@
         attempt.target
         and attempt.target not in attempt.grants
         and attempt.target not in attempt.refused
-        and now < attempt.fenced_at + GRACE_SECONDS
+        and now < attempt.fenced_at + TARGET_GRACE_SECONDS
     ):
         return
     avoided = frozenset(
@@ -412,19 +433,19 @@
     )
     attempt.chosen = choose_log(candidates, attempt.target, avoided)
     attempt.phase = Phase.PROMOTING
-    attempt.deadline = now + PROMOTE_SECONDS
+    attempt.deadline = now + PROMOTE_TIMEOUT_SECONDS
     attempt.next_call_at = now
     _step_attempt(board, attempt, now)
 
 
-def _note_promotion(board, attempt: Promotion, answer, now: float) -> None:
+def _handle_promotion(board, attempt: Promotion, answer, now: float) -> None:
     if not answer.granted:
         _fail(board, attempt, "the chosen endpoint refused", now)
         return
     state = board.failover.promotion_state
     state.running.pop(attempt.database, None)
     record = board.databases[attempt.database]
-    # The status in the answer has already told the term to this node.
+    # This node already learned the term from the status in the answer.
     terms.learn_primary(board, attempt.database, attempt.term, attempt.chosen)
     board.count("failover_promotions_completed")
     board.log(
@@ -444,22 +465,22 @@
     _finish(board, attempt, now)
 
 
-def _fail(board, attempt: Promotion, why: str, now: float) -> None:
+def _fail(board, attempt: Promotion, cause: str, now: float) -> None:
     state = board.failover.promotion_state
     state.running.pop(attempt.database, None)
-    state.not_before[attempt.database] = now + BACKOFF_SECONDS * (
+    state.earliest_start[attempt.database] = now + BACKOFF_SECONDS * (
         1 + 2 * board.random.random()
     )
     board.count("failover_promotions_failed")
     event = logs.LogEvent.PROMOTION_FAILED
     if attempt.reason is Reason.PLANNED:
         event = logs.LogEvent.CHANGE_ABANDONED
-    board.log(event, database=attempt.database, term=attempt.term, reason=why)
+    board.log(event, database=attempt.database, term=attempt.term, reason=cause)
     _finish(board, attempt, now)
 
 
 def _finish(board, attempt: Promotion, now: float) -> None:
-    """Give back the lease and end the hold of new writes."""
+    """Release the lease and end the hold of new writes of a planned change."""
     state = board.failover.promotion_state
     for call_id, (_, attempt_id) in list(state.calls.items()):
         if attempt_id == attempt.id:
--- a/hyssopshelf/failover/tests/test_detection.py
+++ b/hyssopshelf/failover/tests/test_detection.py
@@ -59,9 +59,11 @@
 @pytest.mark.parametrize("asked", [0, 1, 2, 3])
 def test_half_of_the_asked_hosts_must_fail_to_reach_it(asked):
     """Guards against a replacement on the word of a single node."""
-    watch = observations.Watch(rank=0, term=1, since=0.0, alive_at=0.0, asked=3)
-    watch.unreached = {f"h{number}": 9.0 for number in range(asked)}
-    assert observations.is_unreached_elsewhere(watch, 10.0) == (asked >= 2)
+    watch = observations.Watch(
+        rank=0, term=1, started_at=0.0, last_alive_at=0.0, asked_hosts=3
+    )
+    watch.unreached_at = {f"h{number}": 9.0 for number in range(asked)}
+    assert observations.is_unreached_by_peers(watch, 10.0) == (asked >= 2)
 
 
 def test_paused_node_observes_anew(fleet):
@@ -91,4 +93,4 @@
         status = attrs.evolve(status, upstream_age_seconds=age)
         report = observations.build_report(report, now, status, now)
         if polls > 16:
-            assert now - report.heard_at < observations.LOST_SECONDS
+            assert now - report.primary_heard_at < observations.LOST_SECONDS
--- a/hyssopshelf/failover/tests/test_leases.py
+++ b/hyssopshelf/failover/tests/test_leases.py
@@ -20,7 +20,7 @@
 
 
 def claim(board, holder, now):
-    leases.prepare(board, group.DATABASE, now)
+    leases.request_lease(board, group.DATABASE, now)
     leases.receive_store(board, take_call(board).call_id, Ok(7), now)
     entry = platform.Entry(key="k", value=holder, revision=1)
     swapped = platform.Swapped(succeeded=holder == b"h0", current=entry)
@@ -32,13 +32,13 @@
     """Guards against a lease that nobody gives back and that stops failovers."""
     claim(board, holder, 1.0)
     assert leases.is_blocked(board, group.DATABASE, 1.1) is blocked
-    later = 1.0 + leases.BLOCKED_SECONDS
+    later = 1.0 + leases.BLOCK_SECONDS
     assert not leases.is_blocked(board, group.DATABASE, later)
 
 
 def test_store_that_is_down_blocks_nothing(board):
     """Guards against a failover that waits for the store."""
-    leases.prepare(board, group.DATABASE, 1.0)
+    leases.request_lease(board, group.DATABASE, 1.0)
     assert not leases.is_blocked(board, group.DATABASE, 1.0)
     leases.receive_store(board, take_call(board).call_id, Err("down"), 2.0)
     assert not leases.is_blocked(board, group.DATABASE, 2.0)
@@ -57,4 +57,4 @@
     entry = platform.Entry(key=write.key, value=newer, revision=9)
     leases.receive_store(board, take_call(board).call_id, Ok(entry), 11.0)
     assert take_call(board) is None
-    assert group.DATABASE not in board.failover.lease_state.pending
+    assert group.DATABASE not in board.failover.lease_state.pending_records
--- a/hyssopshelf/failover/tests/test_promotion.py
+++ b/hyssopshelf/failover/tests/test_promotion.py
@@ -57,9 +57,9 @@
     @stateful.rule(host=HOSTS, excluded=st.booleans())
     def start_promotion(self, host, excluded):
         board = self.group.boards[host]
-        board.failover.promotion_state.not_before.clear()
+        board.failover.promotion_state.earliest_start.clear()
         old = board.databases[group.DATABASE].primary if excluded else ""
-        reason = promotion.Reason.LEADERLESS
+        reason = promotion.Reason.NO_PRIMARY
         promotion.start(board, group.DATABASE, reason, old, self.group.now)
         self.group.collect(host)
 
@@ -241,7 +241,7 @@
     fleet.silent.add(newer)
     board = fleet.boards["h0"]
     board.databases[group.DATABASE].fenced_term = 2
-    reason = promotion.Reason.LEADERLESS
+    reason = promotion.Reason.NO_PRIMARY
     assert promotion.start(board, group.DATABASE, reason, "", fleet.now)
     fleet.run(promotion.HOLD_SECONDS - 0.1)
     assert 3 not in fleet.promoted
@@ -259,7 +259,7 @@
     fleet.run(4.0)
     board = fleet.boards["h0"]
     excluded = fleet.find_primary() if excluding else ""
-    reason = promotion.Reason.LEADERLESS
+    reason = promotion.Reason.NO_PRIMARY
     promotion.start(board, group.DATABASE, reason, excluded, fleet.now)
     started = fleet.now
     fleet.run(1.0)
--- a/hyssopshelf/failover/tests/test_watchers.py
+++ b/hyssopshelf/failover/tests/test_watchers.py
@@ -16,7 +16,7 @@
         for database, rank in watchers.find_ranks(databases, hosts, host).items():
             ranks.setdefault(database, []).append(rank)
     assert len(ranks) == 100
-    expected = list(range(min(size, watchers.WATCHERS)))
+    expected = list(range(min(size, watchers.WATCHERS_PER_DATABASE)))
     assert all(sorted(found) == expected for found in ranks.values())
 
 
--- a/hyssopshelf/failover/watchers.py
+++ b/hyssopshelf/failover/watchers.py
@@ -1,9 +1,9 @@
 """Selects the databases that this node watches and its rank for each.
 
 The order of the hosts of a database is a rendezvous order among the hosts that
-follow the database on a hash ring. With at most ``CANDIDATES`` live hosts this
-is the rendezvous order of all of them. A plain rendezvous order would hash
-every pair of host and database (45 million at the target size).
+follow the database on a hash ring. With at most ``CANDIDATES_PER_DATABASE``
+live hosts this is the rendezvous order of all of them. A plain rendezvous order
+would hash every pair of host and database (45 million at the target size).
 """
 
 import bisect
@@ -12,11 +12,11 @@
 
 import attrs
 
-CANDIDATES = 16
-"""Hosts after a database on the ring that are ranked for it."""
+CANDIDATES_PER_DATABASE = 16
+"""Number of hosts after a database on the ring that are ranked for it."""
 
-WATCHERS = 3
-"""Hosts that watch a database: the first acts, the others replace it."""
+WATCHERS_PER_DATABASE = 3
+"""Number of hosts that watch a database: the first acts, the others back it up."""
 
 
 @functools.lru_cache(maxsize=65536)
@@ -42,10 +42,10 @@
         first = bisect.bisect(self._hosts, (compute_point(database), ""))
         near = [
             self._hosts[(first + step) % size][1]
-            for step in range(min(CANDIDATES, size))
+            for step in range(min(CANDIDATES_PER_DATABASE, size))
         ]
         near.sort(key=lambda host: _compute_weight(host, database), reverse=True)
-        return near[:WATCHERS]
+        return near[:WATCHERS_PER_DATABASE]
 
     def find_span(self, host: str) -> tuple[int, int]:
         """Return the ring interval of the databases that may rank a host.
@@ -54,10 +54,10 @@
         """
         size = len(self._hosts)
         point = compute_point(host)
-        if size <= CANDIDATES:
+        if size <= CANDIDATES_PER_DATABASE:
             return point, point
         index = bisect.bisect_left(self._hosts, (point, host))
-        return self._hosts[(index - CANDIDATES) % size][0], point
+        return self._hosts[(index - CANDIDATES_PER_DATABASE) % size][0], point
 
 
 @attrs.define(kw_only=True)
@@ -68,7 +68,7 @@
     points: list[tuple[int, str]] = attrs.field(factory=list)
 
     def update(self, names) -> bool:
-        """Sort again if the set of databases changed; return whether it did."""
+        """Rebuild the ring if the set of databases changed; return whether it did."""
         if self.names == names:
             return False
         self.names = frozenset(names)
