--- a/benchmarks/bench_failover.py
+++ b/benchmarks/bench_failover.py
@@ -114,14 +114,17 @@
 @contextlib.contextmanager
 def wait_for_lease(seed: int):
     """Make promotions wait for the rest of a lease, as the baseline does."""
-    lost, hold = observations.LOST_SECONDS, promotion.HOLD_SECONDS
+    lost, hold = observations.FAILURE_WINDOW_SECONDS, promotion.PROMOTION_DELAY_SECONDS
     renewed_before = random.Random(seed).uniform(0.0, LEASE_SECONDS / 3)
-    observations.LOST_SECONDS = LEASE_SECONDS - renewed_before
-    promotion.HOLD_SECONDS = 0.0
+    observations.FAILURE_WINDOW_SECONDS = LEASE_SECONDS - renewed_before
+    promotion.PROMOTION_DELAY_SECONDS = 0.0
     try:
         yield
     finally:
-        observations.LOST_SECONDS, promotion.HOLD_SECONDS = lost, hold
+        observations.FAILURE_WINDOW_SECONDS, promotion.PROMOTION_DELAY_SECONDS = (
+            lost,
+            hold,
+        )
 
 
 def summarise(runs: list[dict]) -> dict:
--- a/benchmarks/faults/variants.py
+++ b/benchmarks/faults/variants.py
@@ -209,7 +209,7 @@
 
 @add_variant(
     promotion,
-    "_note_fence",
+    "_handle_fence",
     "majority_write_lost",
     "two_primaries_in_one_term",
     "two_logs_in_one_term",
@@ -220,14 +220,14 @@
     if answer.granted and answer.status.term == attempt.term:
         attempt.grants[endpoint] = answer.status
         if endpoint != attempt.excluded:
-            attempt.fenced_at = now - promotion.HOLD_SECONDS
+            attempt.fenced_at = now - promotion.PROMOTION_DELAY_SECONDS
     promotion._promote_if_ready(board, attempt, now)
 
 
-@add_variant(promotion, "choose_log", "majority_write_lost")
+@add_variant(promotion, "choose_candidate", "majority_write_lost")
 def promote_shortest_log(grants, target, avoided):
     """Promote the least advanced log of the fenced endpoints."""
-    return min(grants, key=lambda name: promotion._get_end(grants[name]))
+    return min(grants, key=lambda name: promotion._get_log_end(grants[name]))
 
 
 # Configuration.
--- a/hyssopshelf/failover/confirmation.py
+++ b/hyssopshelf/failover/confirmation.py
@@ -100,7 +100,7 @@
     return size // 2 + 1
 
 
-def settle(board, now: float) -> None:
+def start_due_rounds(board, now: float) -> None:
     """Start a round for each database with undecided tickets if one is due."""
     if not board.tickets:
         return
--- a/hyssopshelf/failover/detection.py
+++ b/hyssopshelf/failover/detection.py
@@ -411,7 +411,10 @@
 
 
 def _replace_if_lost(board, record, watch: observations.Watch, now: float) -> None:
-    window = observations.LOST_SECONDS + watch.rank * observations.RANK_DELAY_SECONDS
+    window = (
+        observations.FAILURE_WINDOW_SECONDS
+        + watch.rank * observations.RANK_DELAY_SECONDS
+    )
     fresh = observations.find_fresh_reports(watch, now)
     if len(fresh) < confirmation.compute_majority(len(record.endpoints)):
         # Without a majority no promotion can succeed.
--- a/hyssopshelf/failover/observations.py
+++ b/hyssopshelf/failover/observations.py
@@ -11,7 +11,7 @@
 PRIMARY_SILENCE_SECONDS = 0.6
 """Time without contact to its primary after which a replica raises suspicion."""
 
-LOST_SECONDS = 2.0
+FAILURE_WINDOW_SECONDS = 2.0
 """Time for which a condition must hold before the first watcher replaces a primary."""
 
 RANK_DELAY_SECONDS = 2.0
@@ -238,5 +238,7 @@
 
     Half of them suffice, because some may be isolated together with the primary.
     """
-    recent = sum(at >= now - LOST_SECONDS for at in watch.unreached_at.values())
+    recent = sum(
+        at >= now - FAILURE_WINDOW_SECONDS for at in watch.unreached_at.values()
+    )
     return recent >= (watch.asked_hosts + 1) // 2
--- a/hyssopshelf/failover/promotion.py
+++ b/hyssopshelf/failover/promotion.py
@@ -15,7 +15,7 @@
 from hyssopshelf.consistency import positions
 from hyssopshelf.failover import confirmation, leases, terms
 
-HOLD_SECONDS = 0.5
+PROMOTION_DELAY_SECONDS = 0.5
 """Time between the fence of a majority and the promotion.
 
 An acknowledgement is sent within 0.2 s of the start of the round that confirmed
@@ -244,12 +244,12 @@
         return
     primary = board.databases[attempt.database].primary
     if endpoint == primary and status.role is messages.Role.PRIMARY:
-        end = _get_end(status)
+        end = _get_log_end(status)
         if end != attempt.log_end:
             attempt.log_end = end
             attempt.log_end_seen_at = now
     if endpoint == attempt.target:
-        attempt.target_log_end = _get_end(status)
+        attempt.target_log_end = _get_log_end(status)
     settled = max(
         attempt.started_at + HOLD_SPREAD_SECONDS,
         attempt.log_end_seen_at + LOG_IDLE_SECONDS,
@@ -274,7 +274,7 @@
     if attempt is None or answer is None:
         return
     if attempt.phase is Phase.FENCING:
-        _note_fence(board, attempt, event.endpoint, answer, now)
+        _handle_fence(board, attempt, event.endpoint, answer, now)
     elif attempt.phase is Phase.PROMOTING and event.endpoint == attempt.chosen:
         _handle_promotion(board, attempt, answer, now)
 
@@ -293,7 +293,7 @@
     )
 
 
-def choose_log(
+def choose_candidate(
     grants: dict[str, messages.EndpointStatus], target: str, avoided: frozenset[str]
 ) -> str:
     """Return the fenced endpoint with the most advanced log.
@@ -305,7 +305,7 @@
     return max(
         grants,
         key=lambda name: (
-            _get_end(grants[name]),
+            _get_log_end(grants[name]),
             name == target,
             name not in avoided,
             name,
@@ -313,7 +313,7 @@
     )
 
 
-def _get_end(status: messages.EndpointStatus) -> messages.Position:
+def _get_log_end(status: messages.EndpointStatus) -> messages.Position:
     return positions.locate(status.history, status.position)
 
 
@@ -379,7 +379,7 @@
     board.act(base.CallControl(endpoint=endpoint, call_id=call_id, operation=operation))
 
 
-def _note_fence(board, attempt, endpoint: str, answer, now: float) -> None:
+def _handle_fence(board, attempt, endpoint: str, answer, now: float) -> None:
     if answer.granted and answer.status.term == attempt.term:
         attempt.grants[endpoint] = answer.status
     elif endpoint not in attempt.grants:
@@ -392,7 +392,7 @@
     counted = [name for name in attempt.grants if name != attempt.excluded]
     if attempt.fenced_at is None and len(counted) >= majority:
         attempt.fenced_at = now
-        attempt.deadline = now + HOLD_SECONDS + FENCE_TIMEOUT_SECONDS
+        attempt.deadline = now + PROMOTION_DELAY_SECONDS + FENCE_TIMEOUT_SECONDS
         board.log(
             logs.LogEvent.PROMOTION_FENCED,
             database=record.name,
@@ -416,7 +416,7 @@
     stopped = attempt.old_primary in candidates or len(candidates) == len(
         record.endpoints
     )
-    wait = ACKNOWLEDGEMENT_SECONDS if stopped else HOLD_SECONDS
+    wait = ACKNOWLEDGEMENT_SECONDS if stopped else PROMOTION_DELAY_SECONDS
     if now < attempt.fenced_at + wait:
         return
     if (
@@ -431,7 +431,7 @@
         for name in candidates
         if name in board.endpoints and board.endpoints[name].leaving_at is not None
     )
-    attempt.chosen = choose_log(candidates, attempt.target, avoided)
+    attempt.chosen = choose_candidate(candidates, attempt.target, avoided)
     attempt.phase = Phase.PROMOTING
     attempt.deadline = now + PROMOTE_TIMEOUT_SECONDS
     attempt.next_call_at = now
--- a/hyssopshelf/failover/tests/group.py
+++ b/hyssopshelf/failover/tests/group.py
@@ -58,7 +58,7 @@
         board = self.boards[host]
         detection.step(board, self.now)
         promotion.step(board, self.now)
-        confirmation.settle(board, self.now)
+        confirmation.start_due_rounds(board, self.now)
         self.collect(host)
 
     def collect(self, host):
@@ -177,7 +177,7 @@
             deadline=self.now + 5,
         )
         board.tickets[ticket.id] = ticket
-        confirmation.settle(board, self.now)
+        confirmation.start_due_rounds(board, self.now)
         self.collect(host)
         return ticket
 
--- a/hyssopshelf/failover/tests/test_confirmation.py
+++ b/hyssopshelf/failover/tests/test_confirmation.py
@@ -32,7 +32,7 @@
         filed_at=now,
         deadline=now + 5,
     )
-    confirmation.settle(board, now)
+    confirmation.start_due_rounds(board, now)
     return board.tickets[name]
 
 
@@ -101,7 +101,7 @@
     for endpoint in ENDPOINTS[:2]:
         confirmation.receive_status(board, endpoint, probe, build_status(), 1.1)
     assert (first.outcome, second.outcome) == (CONFIRMED, None)
-    confirmation.settle(board, 1.1)
+    confirmation.start_due_rounds(board, 1.1)
     assert take_probe(board) is not None
 
 
@@ -110,7 +110,7 @@
     board = build_board()
     ticket = file_ticket(board, TERM, 1.0)
     old = take_probe(board)
-    confirmation.settle(board, 1.0 + confirmation.ROUND_TIMEOUT_SECONDS)
+    confirmation.start_due_rounds(board, 1.0 + confirmation.ROUND_TIMEOUT_SECONDS)
     new = take_probe(board)
     confirmation.receive_status(board, ENDPOINTS[0], new, build_status(), 1.3)
     confirmation.receive_status(board, ENDPOINTS[1], old, build_status(), 1.3)
@@ -122,10 +122,10 @@
     board = build_board()
     file_ticket(board, LOG, 1.0)
     probe = take_probe(board)
-    confirmation.settle(board, 1.19)
+    confirmation.start_due_rounds(board, 1.19)
     assert take_probe(board) is None
     for endpoint in ENDPOINTS:
         confirmation.receive_status(board, endpoint, probe, None, 1.19)
-    confirmation.settle(board, 1.19)
+    confirmation.start_due_rounds(board, 1.19)
     assert take_probe(board) is not None
     assert not [r for r in board.confirmations.rounds.values() if r.started_at < 1.1]
--- a/hyssopshelf/failover/tests/test_detection.py
+++ b/hyssopshelf/failover/tests/test_detection.py
@@ -27,7 +27,7 @@
 def test_lost_primary_is_replaced_after_the_window(fleet, how):
     """Guards against a failover that comes never, early or after the bound."""
     primary = lose(fleet, how)
-    fleet.run(observations.LOST_SECONDS - 0.1)
+    fleet.run(observations.FAILURE_WINDOW_SECONDS - 0.1)
     assert len(fleet.promoted) == 1
     fleet.run(1.1)
     assert len(fleet.promoted) == 2
@@ -38,7 +38,7 @@
 def test_short_loss_changes_nothing(fleet, how):
     """Guards against a failover for an interruption shorter than the window."""
     lose(fleet, how)
-    fleet.run(observations.LOST_SECONDS - 0.3)
+    fleet.run(observations.FAILURE_WINDOW_SECONDS - 0.3)
     fleet.dead.clear(), fleet.silent.clear(), fleet.cut.clear()
     fleet.run(6.0)
     assert len(fleet.promoted) == 1
@@ -93,4 +93,4 @@
         status = attrs.evolve(status, upstream_age_seconds=age)
         report = observations.build_report(report, now, status, now)
         if polls > 16:
-            assert now - report.primary_heard_at < observations.LOST_SECONDS
+            assert now - report.primary_heard_at < observations.FAILURE_WINDOW_SECONDS
--- a/hyssopshelf/failover/tests/test_promotion.py
+++ b/hyssopshelf/failover/tests/test_promotion.py
@@ -243,7 +243,7 @@
     board.databases[group.DATABASE].fenced_term = 2
     reason = promotion.Reason.NO_PRIMARY
     assert promotion.start(board, group.DATABASE, reason, "", fleet.now)
-    fleet.run(promotion.HOLD_SECONDS - 0.1)
+    fleet.run(promotion.PROMOTION_DELAY_SECONDS - 0.1)
     assert 3 not in fleet.promoted
     fleet.run(0.3)
     assert 3 in fleet.promoted
@@ -251,7 +251,10 @@
 
 @pytest.mark.parametrize(
     ("excluding", "wait"),
-    [(True, promotion.HOLD_SECONDS), (False, promotion.ACKNOWLEDGEMENT_SECONDS)],
+    [
+        (True, promotion.PROMOTION_DELAY_SECONDS),
+        (False, promotion.ACKNOWLEDGEMENT_SECONDS),
+    ],
 )
 def test_fenced_primary_shortens_the_hold_only_as_a_candidate(excluding, wait):
     """Guards against an acknowledgement that leaves after the promotion."""
--- a/hyssopshelf/node.py
+++ b/hyssopshelf/node.py
@@ -120,7 +120,7 @@
         entry.settle(board, now)
         if not board.local_answers and not board.ready_endpoints:
             break
-    confirmation.settle(board, now)
+    confirmation.start_due_rounds(board, now)
 
 
 @base.handle.register
