--- a/benchmarks/faults/variants.py
+++ b/benchmarks/faults/variants.py
@@ -181,7 +181,7 @@
 @add_variant(reads, "check_state", "session_went_back")
 def skip_token_check(status, asked_at, consistency, required, staleness_seconds, now):
     """Serve a read wherever it was sent, whatever its token says."""
-    return reads.Verdict.SATISFIED
+    return reads.CheckResult.SATISFIED
 
 
 @add_variant(positions, "contains", "session_went_back")
--- a/hyssopshelf/consistency/reads.py
+++ b/hyssopshelf/consistency/reads.py
@@ -6,7 +6,7 @@
 from hyssopshelf.consistency import positions
 
 
-class Verdict(enum.Enum):
+class CheckResult(enum.Enum):
     """Result of comparing an endpoint's state with what a read needs.
 
     ``SATISFIED``: the state satisfies the read. ``BEHIND``: it does not, a
@@ -55,7 +55,7 @@
     required: messages.Position | None,
     staleness_seconds: float,
     now: float,
-) -> Verdict:
+) -> CheckResult:
     """Compare an endpoint's state with what a read needs.
 
     Parameters
@@ -75,20 +75,20 @@
     """
     if required is not None:
         if positions.is_discarded(status.history, required):
-            return Verdict.DISCARDED
+            return CheckResult.DISCARDED
         if not positions.contains(status.history, status.applied, required):
-            return Verdict.BEHIND
+            return CheckResult.BEHIND
     if status.role is messages.Role.PRIMARY:
-        return Verdict.SATISFIED
+        return CheckResult.SATISFIED
     if needs_primary(consistency, required):
-        return Verdict.BEHIND
+        return CheckResult.BEHIND
     if consistency is messages.Consistency.BOUNDED:
         lag = compute_lag(status, asked_at, now)
         if lag > staleness_seconds:
-            return Verdict.BEHIND
-    return Verdict.SATISFIED
+            return CheckResult.BEHIND
+    return CheckResult.SATISFIED
 
 
-def find_seen(status: messages.EndpointStatus) -> messages.Position:
+def find_seen_position(status: messages.EndpointStatus) -> messages.Position:
     """Return the position that a session has seen after a read in this state."""
     return positions.locate(status.history, status.applied)
--- a/hyssopshelf/consistency/routing.py
+++ b/hyssopshelf/consistency/routing.py
@@ -74,7 +74,7 @@
     status = record.status
     if status is None or now - record.status_asked_at > STATUS_TRUST_SECONDS:
         return True
-    verdict = reads.check_state(
+    check_result = reads.check_state(
         status,
         record.status_asked_at,
         request.statement.consistency,
@@ -82,7 +82,7 @@
         request.staleness_seconds,
         now,
     )
-    if verdict is reads.Verdict.BEHIND:
+    if check_result is reads.CheckResult.BEHIND:
         return status.lag_seconds < CATCH_UP_SECONDS
     return True
 
--- a/hyssopshelf/statements/completion.py
+++ b/hyssopshelf/statements/completion.py
@@ -232,7 +232,7 @@
     if statement.transaction:
         _finish_success(board, served, None)
         return
-    verdict = reads.check_state(
+    check_result = reads.check_state(
         answer.status,
         served.sent_at,
         statement.consistency,
@@ -240,14 +240,14 @@
         served.staleness_seconds,
         now,
     )
-    if verdict is reads.Verdict.DISCARDED:
+    if check_result is reads.CheckResult.DISCARDED:
         finish_error(
             board,
             served,
             exceptions.ErrorKind.STALE_TOKEN,
             "a change of primary discarded what this session wrote or saw",
         )
-    elif verdict is reads.Verdict.BEHIND:
+    elif check_result is reads.CheckResult.BEHIND:
         finish_behind(board, served)
     elif answer.status.role is messages.Role.PRIMARY and reads.needs_confirmation(
         statement.consistency, served.required
@@ -258,7 +258,7 @@
         level = blackboard.ConfirmationLevel.TERM
         _file_ticket(board, served, position, level, now)
     else:
-        _finish_success(board, served, reads.find_seen(answer.status))
+        _finish_success(board, served, reads.find_seen_position(answer.status))
 
 
 def _confirm(board, served, now: float) -> None:
@@ -301,7 +301,11 @@
     if by_term and not reading and now - ticket.confirmed_from > FRESHNESS_SECONDS:
         _file_ticket(board, served, ticket.position, ticket.level, now)
         return
-    seen = reads.find_seen(served.answer.status) if reading else served.answer.written
+    seen = (
+        reads.find_seen_position(served.answer.status)
+        if reading
+        else served.answer.written
+    )
     _finish_success(board, served, seen, by_term and not reading)
 
 
--- a/hyssopshelf/statements/serving.py
+++ b/hyssopshelf/statements/serving.py
@@ -164,8 +164,8 @@
         )
         return
     if served.statement.operation is messages.Operation.GET:
-        verdict = _check_known_state(board, served, now)
-        if verdict is reads.Verdict.BEHIND:
+        check_result = _check_known_state(board, served, now)
+        if check_result is reads.CheckResult.BEHIND:
             _wait(board, served, now)
             return
     _enqueue(board, served, now)
@@ -192,14 +192,14 @@
     )
 
 
-def _check_known_state(board, served, now) -> reads.Verdict:
+def _check_known_state(board, served, now) -> reads.CheckResult:
     """Compare the endpoint's last known state with what a read needs.
 
     An unknown state counts as satisfied; the check after the read decides.
     """
     record = board.endpoints[served.endpoint]
     if record.status is None:
-        return reads.Verdict.SATISFIED
+        return reads.CheckResult.SATISFIED
     return reads.check_state(
         record.status,
         record.status_asked_at,
@@ -322,8 +322,8 @@
     if served.id not in board.served:
         del board.waiting_reads[served.id]
         return
-    verdict = _check_known_state(board, served, now)
-    if verdict is not reads.Verdict.BEHIND:
+    check_result = _check_known_state(board, served, now)
+    if check_result is not reads.CheckResult.BEHIND:
         del board.waiting_reads[served.id]
         _enqueue(board, served, now)
     elif now >= served.wait_deadline:
