--- a/hyssopshelf/consistency/__init__.py
+++ b/hyssopshelf/consistency/__init__.py
@@ -1,1 +1,1 @@
-"""Session consistency: tokens, log positions and the choice of endpoint for a read."""
+"""Session consistency: tokens, log positions and the choice of an endpoint."""
--- a/hyssopshelf/consistency/positions.py
+++ b/hyssopshelf/consistency/positions.py
@@ -1,20 +1,20 @@
-"""Containment of a log position in the history of a log.
+"""Containment of log positions in a log, decided from its history.
 
 A history is a tuple of TermStart, oldest first: each term with the first index
-that it wrote. An index alone does not name an entry, because a log that was
-cut off by a change of primary may hold other entries under the same numbers.
+that it wrote. An index alone does not identify an entry, because a log whose end
+was discarded by a change of primary may hold other entries at the same indexes.
 """
 
 from hyssopshelf import messages
 
 UNREACHED_INDEX = 2**62
-"""An index that no log reaches."""
+"""Index that no log reaches."""
 
 
 def find_end(
     history: tuple[messages.TermStart, ...], term: int, last: int
 ) -> int | None:
-    """Return the last index that a term wrote, None if it is not in the history.
+    """Return the last index of a term in a log, None if it is not in the history.
 
     Parameters
     ----------
@@ -23,7 +23,7 @@
     term : int
         Term to look up.
     last : int
-        Last index of the log, the end of the newest term.
+        Last index of the log, which belongs to the newest term.
     """
     for number, start in enumerate(history):
         if start.term == term:
@@ -48,8 +48,8 @@
 ) -> bool:
     """Return whether a history rules out that its log ever contains a position.
 
-    A log that holds a later term holds all that it will ever hold of the
-    earlier ones: an entry of an earlier term that is not in it was discarded by
+    Once a log has entries of a later term, it gets no more entries of earlier
+    terms. An entry of an earlier term that it does not contain was discarded by
     a change of primary.
     """
     if position.index == 0:
@@ -61,16 +61,16 @@
 
 
 def mark_discarded(position: messages.Position) -> messages.Position:
-    """Return a position for a session whose seen state was discarded.
+    """Return a position that marks the state seen by a session as discarded.
 
-    No log contains it: one that has only the discarded branch seems to be
-    behind, and one that continued without it tells that it was discarded.
+    No log contains this position. A log that still ends in the discarded branch
+    appears to be behind, and for a log with a later term ``is_discarded`` holds.
     """
     return messages.Position(term=position.term, index=UNREACHED_INDEX)
 
 
 def locate(history: tuple[messages.TermStart, ...], index: int) -> messages.Position:
-    """Return the position of an index: with the term that wrote it."""
+    """Return the position of an index, with the term that wrote the entry."""
     term = 0
     for start in history:
         if start.first <= index:
--- a/hyssopshelf/consistency/reads.py
+++ b/hyssopshelf/consistency/reads.py
@@ -7,11 +7,11 @@
 
 
 class CheckResult(enum.Enum):
-    """Result of comparing an endpoint's state with what a read needs.
+    """Result of comparing the state of an endpoint with the requirements of a read.
 
-    ``SATISFIED``: the state satisfies the read. ``BEHIND``: it does not, a
-    later state may. ``DISCARDED``: the state that the session saw is not in
-    the log any more and never will be.
+    ``SATISFIED``: the state satisfies the read. ``BEHIND``: it does not, but a
+    later state may. ``DISCARDED``: the log does not contain the position that
+    the session saw and never will.
     """
 
     SATISFIED = "satisfied"
@@ -31,7 +31,7 @@
 def needs_confirmation(
     consistency: messages.Consistency, required: messages.Position | None
 ) -> bool:
-    """Return whether a read on the primary holds only in a confirmed term.
+    """Return whether a read on the primary is valid only in a confirmed term.
 
     A session read with a token is decided by containment alone: a log that
     contains the session's position has everything the session wrote or saw.
@@ -42,8 +42,8 @@
 def compute_lag(status: messages.EndpointStatus, asked_at: float, now: float) -> float:
     """Return an upper bound of the age of the endpoint's data, in seconds.
 
-    The time since the status was asked for is added, so that an old or slow
-    report never makes data look newer than it is.
+    The time since the status was requested is added, so that an old or slow
+    report never makes the data appear newer than it is.
     """
     return status.lag_seconds + (now - asked_at)
 
@@ -56,22 +56,22 @@
     staleness_seconds: float,
     now: float,
 ) -> CheckResult:
-    """Compare an endpoint's state with what a read needs.
+    """Compare the state of an endpoint with the requirements of a read.
 
     Parameters
     ----------
     status : EndpointStatus
-        State of the endpoint when the read ran, or its last known state.
+        State of the endpoint at the time of the read, or its last known state.
     asked_at : float
-        Time at which that state was asked for.
+        Time at which that state was requested.
     consistency : Consistency
-        What the read has to see.
+        Consistency level of the read.
     required : Position or None
-        Position from the session's token.
+        Position of the database in the session's token.
     staleness_seconds : float
-        Bound on the age of the data of a bounded read.
+        Bound on the age of the data of a bounded read, in seconds.
     now : float
-        Time of the check.
+        Time of the check, on the same clock as ``asked_at``.
     """
     if required is not None:
         if positions.is_discarded(status.history, required):
@@ -90,5 +90,5 @@
 
 
 def find_seen_position(status: messages.EndpointStatus) -> messages.Position:
-    """Return the position that a session has seen after a read in this state."""
+    """Return the position that a session has seen after a read in a state."""
     return positions.locate(status.history, status.applied)
--- a/hyssopshelf/consistency/routing.py
+++ b/hyssopshelf/consistency/routing.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint for a statement at its entry node."""
+"""Choice of the endpoint for a statement at its entry node."""
 
 import attrs
 
@@ -6,10 +6,10 @@
 from hyssopshelf.consistency import reads
 
 STATUS_TRUST_SECONDS = 1.0
-"""Age from which a replica's last known status no longer rules it out."""
+"""Age up to which a replica's last known status may rule it out."""
 
 CATCH_UP_SECONDS = 0.05
-"""A replica that is behind is tried if its lag is below this: it soon catches up."""
+"""Lag below which a replica that is behind is tried, because it soon catches up."""
 
 
 @attrs.frozen(kw_only=True)
@@ -30,7 +30,7 @@
     request : blackboard.EntryRequest
         The statement.
     now : float
-        Time on the node's clock.
+        Time on the node's monotonic clock, in seconds.
     """
     statement = request.statement
     database = board.databases[f"{statement.pool}/{statement.database}"]
@@ -62,7 +62,9 @@
         if name == database.primary or record.leaving_at is not None:
             continue
         if _may_satisfy(record, request, required, now):
-            candidates.append((_distance(board, record), board.random.random(), name))
+            candidates.append(
+                (_compute_distance(board, record), board.random.random(), name)
+            )
     return min(candidates)[2] if candidates else None
 
 
@@ -87,8 +89,8 @@
     return True
 
 
-def _distance(board, record) -> int:
-    """Return 0 for the node's own place, 1 for its region, 2 for any other."""
+def _compute_distance(board, record) -> int:
+    """Return 0 for an endpoint in the node's place, 1 in its region, 2 elsewhere."""
     if record.place == board.identity.place:
         return 0
     region = board.membership.regions.get(record.place)
--- a/hyssopshelf/consistency/tests/test_positions.py
+++ b/hyssopshelf/consistency/tests/test_positions.py
@@ -1,4 +1,4 @@
-"""Tests of containment of positions in log histories."""
+"""Tests of the containment of positions in log histories."""
 
 import pytest
 
@@ -11,10 +11,11 @@
 
 @pytest.mark.parametrize("history", [OLD_BRANCH, NEW_BRANCH])
 def test_no_log_contains_a_discarded_session(history):
-    """Guards against a read without the session's last write.
+    """Guards against a read that misses the session's last write.
 
-    A session that saw index 67 of term 1 and then wrote in term 2 must not be
-    served by a replica that still holds the discarded end of term 1.
+    The session saw index 67 of term 1, which was discarded, and then wrote in
+    term 2. A replica that still holds the discarded end of term 1 must not serve
+    it.
     """
     marked = positions.mark_discarded(messages.Position(term=1, index=67))
     assert marked > messages.Position(term=1, index=67)
--- a/hyssopshelf/consistency/tokens.py
+++ b/hyssopshelf/consistency/tokens.py
@@ -1,8 +1,8 @@
 """Signed session tokens.
 
-A token is base64url of a msgpack list [key id, positions] followed by a
-truncated HMAC-SHA256 of that list. ``positions`` maps the full name of a
-database to the (term, index) that the session has written or seen.
+A token is the base64url encoding of a msgpack list [key id, positions] followed
+by a truncated HMAC-SHA256 of that list. ``positions`` maps the full name of a
+database to the latest (term, index) that the session has written or seen.
 """
 
 import base64
@@ -18,7 +18,7 @@
 """Length of the truncated signature, in bytes."""
 
 MAXIMUM_TOKEN_CHARACTERS = 16 * 1024
-"""Longest accepted token; about 200 databases."""
+"""Maximum length of a token, enough for about 200 databases."""
 
 Keys = tuple[tuple[str, bytes], ...]
 
@@ -33,12 +33,14 @@
 
 
 def verify(token: str, keys: Keys) -> dict[str, messages.Position]:
-    """Return the positions of a token; an empty token has none.
+    """Return the positions of a token after checking its signature.
+
+    An empty token has no positions.
 
     Raises
     ------
     TokenError
-        If the token is truncated, forged or signed with an unknown key.
+        If the token is too long, malformed, forged or signed with an unknown key.
     """
     if not token:
         return {}
@@ -64,7 +66,7 @@
 def merge(
     known: dict[str, messages.Position], database: str, seen: messages.Position
 ) -> dict[str, messages.Position]:
-    """Return the positions with ``seen`` added; positions only move forward."""
+    """Return the positions with ``seen`` added unless a later one is known."""
     current = known.get(database)
     if current is not None and current >= seen:
         return known
