--- a/benchmarks/failover_fleet.py
+++ b/benchmarks/failover_fleet.py
@@ -456,11 +456,13 @@
         """Note how long each write waits between its answer and its release."""
         board = self.nodes[host].board
         waiting = self.waiting[host]
-        for ticket_id in [name for name in waiting if name not in board.tickets]:
-            level, filed_at = waiting.pop(ticket_id)
-            self.confirmed.append((level, self.now - filed_at))
-        for ticket in board.tickets.values():
-            waiting.setdefault(ticket.id, (ticket.level.value, ticket.filed_at))
+        for confirmation_id in [
+            name for name in waiting if name not in board.pending_confirmations
+        ]:
+            level, requested_at = waiting.pop(confirmation_id)
+            self.confirmed.append((level, self.now - requested_at))
+        for pending in board.pending_confirmations.values():
+            waiting.setdefault(pending.id, (pending.level.value, pending.requested_at))
 
     # Figures.
 
--- a/hyssopshelf/blackboard.py
+++ b/hyssopshelf/blackboard.py
@@ -12,7 +12,7 @@
 from hyssopshelf import base, logs, messages
 from hyssopshelf.configuration import progress, resources, views
 from hyssopshelf.connections import records
-from hyssopshelf.failover import confirmation, tickets
+from hyssopshelf.failover import confirmation, pending_confirmations
 from hyssopshelf.failover import state as failover_state
 from hyssopshelf.membership import balancing
 from hyssopshelf.membership import placement as placing
@@ -212,9 +212,9 @@
     received: dict[int, float] = attrs.field(factory=dict)
 
 
-ConfirmationLevel = tickets.ConfirmationLevel
-ConfirmationOutcome = tickets.ConfirmationOutcome
-Ticket = tickets.Ticket
+ConfirmationLevel = pending_confirmations.ConfirmationLevel
+ConfirmationOutcome = pending_confirmations.ConfirmationOutcome
+PendingConfirmation = pending_confirmations.PendingConfirmation
 
 
 @attrs.define(kw_only=True)
@@ -268,7 +268,7 @@
     senders: dict[str, SenderRecord] = attrs.field(factory=dict)
     next_polls: dict[str, float] = attrs.field(factory=dict)
     polls: dict[str, float] = attrs.field(factory=dict)
-    tickets: dict[str, Ticket] = attrs.field(factory=dict)
+    pending_confirmations: dict[str, PendingConfirmation] = attrs.field(factory=dict)
     confirmations: confirmation.ConfirmationState = attrs.field(
         factory=confirmation.ConfirmationState
     )
--- a/hyssopshelf/failover/confirmation.py
+++ b/hyssopshelf/failover/confirmation.py
@@ -1,23 +1,23 @@
 """Majority confirmation of writes and strong reads.
 
-A round asks every endpoint of a database for its status and serves all
-tickets created before it started. A majority that confirms a ticket shares an
-endpoint with every majority that can be fenced for a later term, so a change
-of primary is either visible in the answers or happens after the start of the
-round.
+A round asks every endpoint of a database for its status and serves all pending
+confirmations that were requested before it started. A majority that confirms a
+request shares an endpoint with every majority that can be fenced for a later
+term, so a change of primary is either visible in the answers or happens after
+the start of the round.
 """
 
 import attrs
 
 from hyssopshelf import base, messages
 from hyssopshelf.consistency import positions
-from hyssopshelf.failover import tickets
+from hyssopshelf.failover import pending_confirmations
 
 ROUND_TIMEOUT_SECONDS = 0.2
 """Time after which a round ends without a majority of answers."""
 
 RETRY_SECONDS = 0.005
-"""Initial delay between rounds for tickets that a round left undecided.
+"""Initial delay between rounds for requests that a round left undecided.
 
 It doubles with each round.
 """
@@ -71,7 +71,7 @@
     started_at : float
         Start of the last round.
     next_at : float
-        Earliest start of a round for tickets that an earlier round left
+        Earliest start of a round for requests that an earlier round left
         undecided.
     retry_seconds : float
         Delay before the next such round.
@@ -101,16 +101,16 @@
 
 
 def start_due_rounds(board, now: float) -> None:
-    """Start a round for each database with undecided tickets if one is due."""
-    if not board.tickets:
+    """Start a round for each database with undecided requests if one is due."""
+    if not board.pending_confirmations:
         return
     waiting: dict[str, float] = {}
-    for ticket in board.tickets.values():
-        if ticket.outcome is None:
-            newest = waiting.get(ticket.database, float("-inf"))
-            waiting[ticket.database] = max(newest, ticket.filed_at)
-    for database, newest in waiting.items():
-        _start_round_if_due(board, database, newest, now)
+    for pending in board.pending_confirmations.values():
+        if pending.outcome is None:
+            newest_requested_at = waiting.get(pending.database, float("-inf"))
+            waiting[pending.database] = max(newest_requested_at, pending.requested_at)
+    for database, newest_requested_at in waiting.items():
+        _start_round_if_due(board, database, newest_requested_at, now)
 
 
 def receive_status(
@@ -138,11 +138,13 @@
             state.reports[endpoint] = StatusReport(
                 asked_at=current.started_at, status=status
             )
-        _decide_tickets(board, current.database, state)
+        _decide_confirmations(board, current.database, state)
     _end_round_if_complete(state, current, now)
 
 
-def _start_round_if_due(board, database: str, newest: float, now: float) -> None:
+def _start_round_if_due(
+    board, database: str, newest_requested_at: float, now: float
+) -> None:
     record = board.databases.get(database)
     if record is None or not record.endpoints:
         return
@@ -151,7 +153,7 @@
         if now < state.running.started_at + ROUND_TIMEOUT_SECONDS:
             return
         state.running = None
-    if newest > state.started_at:
+    if newest_requested_at > state.started_at:
         state.retry_seconds = RETRY_SECONDS
     elif now < state.next_at:
         return
@@ -185,40 +187,42 @@
         state.running = None
 
 
-def _decide_tickets(board, database: str, state: DatabaseConfirmation) -> None:
+def _decide_confirmations(board, database: str, state: DatabaseConfirmation) -> None:
     record = board.databases.get(database)
     if record is None:
         return
-    for ticket in board.tickets.values():
-        if ticket.database == database and ticket.outcome is None:
-            _decide_ticket(board, ticket, record.endpoints, state.reports)
+    for pending in board.pending_confirmations.values():
+        if pending.database == database and pending.outcome is None:
+            _decide_confirmation(board, pending, record.endpoints, state.reports)
 
 
-def _decide_ticket(board, ticket, endpoints, reports: dict[str, StatusReport]) -> None:
-    term = ticket.position.term
+def _decide_confirmation(
+    board, pending, endpoints, reports: dict[str, StatusReport]
+) -> None:
+    term = pending.position.term
     usable = [
         reports[endpoint]
         for endpoint in endpoints
-        if endpoint in reports and reports[endpoint].asked_at >= ticket.filed_at
+        if endpoint in reports and reports[endpoint].asked_at >= pending.requested_at
     ]
     majority = compute_majority(len(endpoints))
     higher = sum(report.status.term > term for report in usable)
     if len(endpoints) - higher < majority:
-        ticket.outcome = tickets.ConfirmationOutcome.REPLACED
+        pending.outcome = pending_confirmations.ConfirmationOutcome.REPLACED
         board.count("confirmations_replaced")
         return
     current = [report for report in usable if report.status.term == term]
     holding = current
-    if ticket.level is tickets.ConfirmationLevel.LOG:
-        holding = [r for r in current if _holds_position(r.status, ticket.position)]
+    if pending.level is pending_confirmations.ConfirmationLevel.LOG:
+        holding = [r for r in current if _holds_position(r.status, pending.position)]
     if len(holding) < majority:
         return
     # Any of the counted endpoints may be the one shared with a majority that is
     # fenced later, so the confirmation is only as fresh as the oldest answer
     # that counts. The newest answers that form a majority are counted.
     asked = sorted((report.asked_at for report in holding), reverse=True)
-    ticket.outcome = tickets.ConfirmationOutcome.CONFIRMED
-    ticket.confirmed_from = asked[majority - 1]
+    pending.outcome = pending_confirmations.ConfirmationOutcome.CONFIRMED
+    pending.confirmed_from = asked[majority - 1]
 
 
 def _holds_position(
--- a/hyssopshelf/failover/tickets.py
+++ b/hyssopshelf/failover/pending_confirmations.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a majority of their database group."""
+"""Requests that wait for confirmation by a majority of their database group."""
 
 import enum
 
@@ -8,10 +8,11 @@
 
 
 class ConfirmationLevel(enum.Enum):
-    """What must be known before a ticket is confirmed.
+    """What a majority must report before a request is confirmed.
 
-    ``TERM``: a majority, asked after the ticket was filed, still knows the
-    ticket's term. ``LOG``: also a majority's log holds the position.
+    ``TERM``: a majority, asked after the confirmation was requested, is still in
+    the term of the request. ``LOG``: the logs of this majority also hold the
+    position.
     """
 
     TERM = "term"
@@ -19,15 +20,18 @@
 
 
 class ConfirmationOutcome(enum.Enum):
-    """Result of a ticket."""
+    """Result of a confirmation.
+
+    ``REPLACED``: a majority can no longer be in the term of the request.
+    """
 
     CONFIRMED = "confirmed"
     REPLACED = "replaced"
 
 
 @attrs.define(kw_only=True)
-class Ticket:
-    """A request that waits for a majority of its database.
+class PendingConfirmation:
+    """A request that waits for confirmation by a majority of its database group.
 
     Attributes
     ----------
@@ -38,19 +42,19 @@
     filed_at : float
         Time at which the endpoint's answer was received.
     deadline : float
-        Time at which the request is given up.
+        Time at which the request is abandoned.
     outcome : ConfirmationOutcome or None
         None while undecided.
     confirmed_from : float
-        Start of the round that confirmed it; the acknowledgement of a
-        ``TERM`` ticket must leave within the freshness bound of this time.
+        Start of the round that confirmed the request. An acknowledgement at
+        level ``TERM`` must be sent within the freshness bound of this time.
     """
 
     id: str
     database: str
     level: ConfirmationLevel
     position: messages.Position
-    filed_at: float
+    requested_at: float
     deadline: float
     outcome: ConfirmationOutcome | None = None
     confirmed_from: float = float("-inf")
--- a/hyssopshelf/failover/tests/group.py
+++ b/hyssopshelf/failover/tests/group.py
@@ -5,7 +5,12 @@
 from result import Err
 
 from hyssopshelf import base, blackboard, messages
-from hyssopshelf.failover import confirmation, detection, promotion, tickets
+from hyssopshelf.failover import (
+    confirmation,
+    detection,
+    pending_confirmations,
+    promotion,
+)
 from hyssopshelf.standins import database
 
 DATABASE = "p/d"
@@ -166,20 +171,20 @@
         answer = self.instances[name].execute("c", request, self.now)
         return (answer.written, value) if answer.error is None else None
 
-    def file_ticket(self, host, position, level):
+    def request_confirmation(self, host, position, level):
         board = self.boards[host]
-        ticket = tickets.Ticket(
+        pending = pending_confirmations.PendingConfirmation(
             id=f"t{self.writes}",
             database=DATABASE,
             level=level,
             position=position,
-            filed_at=self.now,
+            requested_at=self.now,
             deadline=self.now + 5,
         )
-        board.tickets[ticket.id] = ticket
+        board.pending_confirmations[pending.id] = pending
         confirmation.start_due_rounds(board, self.now)
         self.collect(host)
-        return ticket
+        return pending
 
     def find_primary(self):
         """Return the primary of the highest term."""
--- a/hyssopshelf/failover/tests/test_confirmation.py
+++ b/hyssopshelf/failover/tests/test_confirmation.py
@@ -5,13 +5,13 @@
 import pytest
 
 from hyssopshelf import base, blackboard, messages
-from hyssopshelf.failover import confirmation, tickets
+from hyssopshelf.failover import confirmation, pending_confirmations
 
 ENDPOINTS = ("p/d/a", "p/d/b", "p/d/c")
-LOG = tickets.ConfirmationLevel.LOG
-TERM = tickets.ConfirmationLevel.TERM
-CONFIRMED = tickets.ConfirmationOutcome.CONFIRMED
-REPLACED = tickets.ConfirmationOutcome.REPLACED
+LOG = pending_confirmations.ConfirmationLevel.LOG
+TERM = pending_confirmations.ConfirmationLevel.TERM
+CONFIRMED = pending_confirmations.ConfirmationOutcome.CONFIRMED
+REPLACED = pending_confirmations.ConfirmationOutcome.REPLACED
 
 
 def build_board():
@@ -23,17 +23,17 @@
     return board
 
 
-def file_ticket(board, level, now, name="t"):
-    board.tickets[name] = tickets.Ticket(
+def request_confirmation(board, level, now, name="t"):
+    board.pending_confirmations[name] = pending_confirmations.PendingConfirmation(
         id=name,
         database="p/d",
         level=level,
         position=messages.Position(term=2, index=7),
-        filed_at=now,
+        requested_at=now,
         deadline=now + 5,
     )
     confirmation.start_due_rounds(board, now)
-    return board.tickets[name]
+    return board.pending_confirmations[name]
 
 
 def take_probe(board):
@@ -73,30 +73,30 @@
 def test_only_a_majority_decides(level, answers, outcome):
     """Guards against acknowledging a write that a majority does not vouch for."""
     board = build_board()
-    ticket = file_ticket(board, level, 1.0)
+    pending = request_confirmation(board, level, 1.0)
     probe = take_probe(board)
     for endpoint, status in zip(ENDPOINTS, answers, strict=False):
         confirmation.receive_status(board, endpoint, probe, status, 1.1)
-    assert ticket.outcome is outcome
-    assert ticket.confirmed_from == (1.0 if outcome is CONFIRMED else float("-inf"))
+    assert pending.outcome is outcome
+    assert pending.confirmed_from == (1.0 if outcome is CONFIRMED else float("-inf"))
 
 
 def test_repeated_answer_counts_once():
     """Guards against one endpoint's duplicated answer forming a majority."""
     board = build_board()
-    ticket = file_ticket(board, TERM, 1.0)
+    pending = request_confirmation(board, TERM, 1.0)
     probe = take_probe(board)
     for _ in range(3):
         confirmation.receive_status(board, ENDPOINTS[0], probe, build_status(), 1.1)
-    assert ticket.outcome is None
+    assert pending.outcome is None
 
 
 def test_answer_asked_before_filing_does_not_confirm():
     """Guards against confirming with answers older than the write."""
     board = build_board()
-    first = file_ticket(board, TERM, 1.0)
+    first = request_confirmation(board, TERM, 1.0)
     probe = take_probe(board)
-    second = file_ticket(board, TERM, 1.05, "second")
+    second = request_confirmation(board, TERM, 1.05, "second")
     assert take_probe(board) is None
     for endpoint in ENDPOINTS[:2]:
         confirmation.receive_status(board, endpoint, probe, build_status(), 1.1)
@@ -108,19 +108,19 @@
 def test_confirmation_is_as_old_as_its_oldest_answer():
     """Guards against a late answer that makes an old round look fresh."""
     board = build_board()
-    ticket = file_ticket(board, TERM, 1.0)
+    pending = request_confirmation(board, TERM, 1.0)
     old = take_probe(board)
     confirmation.start_due_rounds(board, 1.0 + confirmation.ROUND_TIMEOUT_SECONDS)
     new = take_probe(board)
     confirmation.receive_status(board, ENDPOINTS[0], new, build_status(), 1.3)
     confirmation.receive_status(board, ENDPOINTS[1], old, build_status(), 1.3)
-    assert ticket.confirmed_from == 1.0
+    assert pending.confirmed_from == 1.0
 
 
 def test_silent_endpoints_delay_rounds_by_a_bound():
     """Guards against rounds that wait for a dead endpoint or ask without pause."""
     board = build_board()
-    file_ticket(board, LOG, 1.0)
+    request_confirmation(board, LOG, 1.0)
     probe = take_probe(board)
     confirmation.start_due_rounds(board, 1.19)
     assert take_probe(board) is None
--- a/hyssopshelf/failover/tests/test_promotion.py
+++ b/hyssopshelf/failover/tests/test_promotion.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from hyssopshelf import messages
-from hyssopshelf.failover import promotion, terms, tickets
+from hyssopshelf.failover import pending_confirmations, promotion, terms
 from hyssopshelf.failover.tests import group
 
 FRESH_SECONDS = 0.2
@@ -14,7 +14,7 @@
 
 HOSTS = st.sampled_from(["h0", "h1", "h2"])
 NAMES = st.sampled_from([f"{group.DATABASE}/{name}" for name in "abc"])
-LEVELS = st.sampled_from(list(tickets.ConfirmationLevel))
+LEVELS = st.sampled_from(list(pending_confirmations.ConfirmationLevel))
 POSITIONS = st.integers(min_value=0, max_value=10**6)
 
 
@@ -92,23 +92,23 @@
     def write(self, name, host, level):
         written = self.group.write(name)
         if written is not None and host not in self.group.stopped:
-            ticket = self.group.file_ticket(host, written[0], level)
-            self.waiting.append((ticket, written[1]))
+            pending = self.group.request_confirmation(host, written[0], level)
+            self.waiting.append((pending, written[1]))
 
     @stateful.invariant()
     def note_acknowledgements(self):
-        confirmed = tickets.ConfirmationOutcome.CONFIRMED
-        for ticket, value in list(self.waiting):
-            if ticket.outcome is None:
+        confirmed = pending_confirmations.ConfirmationOutcome.CONFIRMED
+        for pending, value in list(self.waiting):
+            if pending.outcome is None:
                 continue
-            self.waiting.remove((ticket, value))
-            if ticket.outcome is not confirmed:
+            self.waiting.remove((pending, value))
+            if pending.outcome is not confirmed:
                 continue
-            if ticket.level is tickets.ConfirmationLevel.LOG:
-                self.acknowledged.append((ticket.position, value))
-            elif self.group.now <= ticket.confirmed_from + FRESH_SECONDS:
+            if pending.level is pending_confirmations.ConfirmationLevel.LOG:
+                self.acknowledged.append((pending.position, value))
+            elif self.group.now <= pending.confirmed_from + FRESH_SECONDS:
                 newest = max(self.group.promoted)
-                assert newest <= ticket.position.term, "replaced primary acknowledged"
+                assert newest <= pending.position.term, "replaced primary acknowledged"
 
     @stateful.invariant()
     def have_one_primary_per_term(self):
--- a/hyssopshelf/statements/answers.py
+++ b/hyssopshelf/statements/answers.py
@@ -6,7 +6,7 @@
 from hyssopshelf.scheduling import limits
 from hyssopshelf.statements import completion, polling
 
-TICKET_PREFIX = "entry:"
+CONFIRMATION_ID_PREFIX = "entry:"
 
 OVERLOAD_KINDS = (
     exceptions.ErrorKind.REFUSED,
@@ -59,42 +59,44 @@
     return message.confirmed and now - request.sent_at > completion.FRESHNESS_SECONDS
 
 
-def file_ticket(board, request, message: messages.ServedAnswer, now: float) -> None:
+def request_confirmation(
+    board, request, message: messages.ServedAnswer, now: float
+) -> None:
     """Ask the database's endpoints again before an acknowledgement leaves."""
     statement = request.statement
     request.answer = message
-    ticket_id = f"{TICKET_PREFIX}{message.request_id}"
-    board.entry_confirmations[ticket_id] = request
-    board.tickets[ticket_id] = blackboard.Ticket(
-        id=ticket_id,
+    confirmation_id = f"{CONFIRMATION_ID_PREFIX}{message.request_id}"
+    board.entry_confirmations[confirmation_id] = request
+    board.pending_confirmations[confirmation_id] = blackboard.PendingConfirmation(
+        id=confirmation_id,
         database=f"{statement.pool}/{statement.database}",
         level=blackboard.ConfirmationLevel.TERM,
         position=messages.Position(
             term=message.status.term, index=message.status.position
         ),
-        filed_at=now,
+        requested_at=now,
         deadline=request.deadline,
     )
 
 
 def settle(board, now: float) -> None:
     """Answer the statements whose repeated confirmation is decided or overdue."""
-    for ticket_id in list(board.entry_confirmations):
-        ticket = board.tickets.get(ticket_id)
-        request = board.entry_confirmations[ticket_id]
+    for confirmation_id in list(board.entry_confirmations):
+        pending = board.pending_confirmations.get(confirmation_id)
+        request = board.entry_confirmations[confirmation_id]
         late = now >= request.deadline
-        if ticket is not None and ticket.outcome is None and not late:
+        if pending is not None and pending.outcome is None and not late:
             continue
-        del board.entry_confirmations[ticket_id]
-        board.tickets.pop(ticket_id, None)
+        del board.entry_confirmations[confirmation_id]
+        board.pending_confirmations.pop(confirmation_id, None)
         confirmed = (
-            ticket is not None
-            and ticket.outcome is blackboard.ConfirmationOutcome.CONFIRMED
+            pending is not None
+            and pending.outcome is blackboard.ConfirmationOutcome.CONFIRMED
         )
-        if confirmed and now - ticket.confirmed_from <= completion.FRESHNESS_SECONDS:
+        if confirmed and now - pending.confirmed_from <= completion.FRESHNESS_SECONDS:
             reply(board, request, request.answer)
         elif confirmed and not late:
-            file_ticket(board, request, request.answer, now)
+            request_confirmation(board, request, request.answer, now)
         else:
             reply_lost(board, request, "the primary was replaced")
 
--- a/hyssopshelf/statements/completion.py
+++ b/hyssopshelf/statements/completion.py
@@ -73,12 +73,14 @@
 
 def settle(board, now: float) -> None:
     """Answer the statements whose confirmation is decided."""
-    for ticket in [t for t in board.tickets.values() if t.outcome is not None]:
-        served = board.served.get(ticket.id)
+    for pending in [
+        t for t in board.pending_confirmations.values() if t.outcome is not None
+    ]:
+        served = board.served.get(pending.id)
         if served is None:
             continue
-        del board.tickets[ticket.id]
-        _finish_ticket(board, served, ticket, now)
+        del board.pending_confirmations[pending.id]
+        _finish_confirmation(board, served, pending, now)
 
 
 def expire_request(board, served, now: float) -> None:
@@ -91,7 +93,7 @@
         pool.discard_connection(board, served.connection, "answer is overdue")
         finish_unknown(board, served, "no answer of the endpoint before the deadline")
     elif served.state is blackboard.ServedState.CONFIRMING:
-        board.tickets.pop(served.id, None)
+        board.pending_confirmations.pop(served.id, None)
         finish_unknown(board, served, "not confirmed before the deadline")
 
 
@@ -256,13 +258,13 @@
             term=answer.status.term, index=answer.status.applied
         )
         level = blackboard.ConfirmationLevel.TERM
-        _file_ticket(board, served, position, level, now)
+        _request_confirmation(board, served, position, level, now)
     else:
         _finish_success(board, served, reads.find_seen_position(answer.status))
 
 
 def _confirm(board, served, now: float) -> None:
-    """File a ticket for the log end at which a write ran.
+    """Request confirmation of the log end at which a write ran.
 
     The log end always lies in the primary's own term, because a promotion
     writes an entry. The position of a repeated write may lie in an older term,
@@ -273,33 +275,33 @@
         level = blackboard.ConfirmationLevel.LOG
     status = served.answer.status
     position = messages.Position(term=status.term, index=status.position)
-    _file_ticket(board, served, position, level, now)
+    _request_confirmation(board, served, position, level, now)
 
 
-def _file_ticket(board, served, position, level, now) -> None:
+def _request_confirmation(board, served, position, level, now) -> None:
     served.state = blackboard.ServedState.CONFIRMING
     statement = served.statement
-    board.tickets[served.id] = blackboard.Ticket(
+    board.pending_confirmations[served.id] = blackboard.PendingConfirmation(
         id=served.id,
         database=f"{statement.pool}/{statement.database}",
         level=level,
         position=position,
-        filed_at=now,
+        requested_at=now,
         deadline=served.deadline,
     )
 
 
-def _finish_ticket(board, served, ticket, now: float) -> None:
+def _finish_confirmation(board, served, pending, now: float) -> None:
     reading = served.statement.operation is messages.Operation.GET
-    if ticket.outcome is blackboard.ConfirmationOutcome.REPLACED:
+    if pending.outcome is blackboard.ConfirmationOutcome.REPLACED:
         if reading:
             finish_behind(board, served)
         else:
             finish_unknown(board, served, "the primary was replaced")
         return
-    by_term = ticket.level is blackboard.ConfirmationLevel.TERM
-    if by_term and not reading and now - ticket.confirmed_from > FRESHNESS_SECONDS:
-        _file_ticket(board, served, ticket.position, ticket.level, now)
+    by_term = pending.level is blackboard.ConfirmationLevel.TERM
+    if by_term and not reading and now - pending.confirmed_from > FRESHNESS_SECONDS:
+        _request_confirmation(board, served, pending.position, pending.level, now)
         return
     seen = (
         reads.find_seen_position(served.answer.status)
--- a/hyssopshelf/statements/entry.py
+++ b/hyssopshelf/statements/entry.py
@@ -107,7 +107,7 @@
         request.primary_only = True
         _reroute(board, request, message, now)
     elif answers.needs_confirmation(request, message, now):
-        answers.file_ticket(board, request, message, now)
+        answers.request_confirmation(board, request, message, now)
     else:
         answers.reply(board, request, message)
 
