--- a/hyssopshelf/failover/tests/group.py
+++ b/hyssopshelf/failover/tests/simulated_group.py
@@ -1,4 +1,4 @@
-"""A database group and the nodes around it, with every message under control."""
+"""Simulation of a database group and its nodes that controls each message."""
 
 import random
 
@@ -17,8 +17,26 @@
 PLACES = ("x", "y", "z")
 
 
-class Group:
-    """Nodes, instances and the messages in flight between them."""
+class SimulatedGroup:
+    """Nodes, endpoints and the messages in flight between them.
+
+    Attributes
+    ----------
+    silent : set of str
+        Endpoints that answer no call of a node and do not replicate.
+    dead : set of str
+        Endpoints whose calls fail at once and that do not replicate.
+    isolated : set of str
+        Endpoints that answer nodes but do not replicate.
+    stopped : set of str
+        Hosts that do not run.
+    pending : list of tuple
+        Messages in flight: the sending or receiving host and the message.
+    logs : list of tuple
+        Logged events: time, host, name and fields.
+    promoted : dict of int to tuple
+        First promoted endpoint of each term and the time of its promotion.
+    """
 
     def __init__(self, hosts=3):
         self.now = 10.0
@@ -27,7 +45,7 @@
         self.instances = {name: database.Instance(name=name) for name in self.names}
         for instance in self.instances.values():
             instance.open_connection("c")
-        self.silent, self.dead, self.cut, self.stopped = set(), set(), set(), set()
+        self.silent, self.dead, self.isolated, self.stopped = set(), set(), set(), set()
         self.pending, self.logs, self.promoted = [], [], {}
         self.writes = 0
         self.boards = {}
@@ -35,7 +53,7 @@
             self.start_host(f"h{number}")
 
     def start_host(self, host):
-        """Start a node; a restarted one has lost its state."""
+        """Start a node; a restarted node starts without its earlier state."""
         number = int(host[1:])
         old = self.boards.get(host)
         identity = blackboard.Identity(
@@ -67,7 +85,7 @@
         self.collect(host)
 
     def collect(self, host):
-        """Put the actions of a node in flight."""
+        """Take the actions of a node and put them in flight or into the logs."""
         board = self.boards[host]
         for action in board.actions:
             if isinstance(action, base.Log):
@@ -139,17 +157,17 @@
         self.collect(host)
 
     def replicate(self, name):
-        """Let an endpoint fetch once, unless it is cut off from the others."""
+        """Let an endpoint fetch once if it and its primary can reach each other."""
         instance = self.instances[name]
         request = instance.request_fetch(self.now)
         primary = self.instances.get(instance.primary)
-        lost = {name, instance.primary} & (self.cut | self.silent | self.dead)
+        lost = {name, instance.primary} & (self.isolated | self.silent | self.dead)
         if request is not None and primary is not None and not lost:
             answer = primary.serve_fetch(request, self.now)
             instance.receive_fetch(answer, self.now, self.now)
 
     def run(self, seconds):
-        """Let time pass with prompt delivery."""
+        """Advance the time by some seconds, with immediate delivery of all messages."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             self.now += 0.05
@@ -187,6 +205,6 @@
         return pending
 
     def find_primary(self):
-        """Return the primary of the highest term."""
+        """Return the name of the primary of the highest term, or an empty string."""
         found = [i for i in self.instances.values() if i.role is messages.Role.PRIMARY]
         return max(found, key=lambda i: i.term).name if found else ""
--- a/hyssopshelf/failover/tests/test_confirmation.py
+++ b/hyssopshelf/failover/tests/test_confirmation.py
@@ -71,7 +71,7 @@
     ],
 )
 def test_only_a_majority_decides(level, answers, outcome):
-    """Guards against acknowledging a write that a majority does not vouch for."""
+    """Guards against acknowledging a write that no majority confirms."""
     board = build_board()
     pending = request_confirmation(board, level, 1.0)
     probe = take_probe(board)
@@ -82,7 +82,7 @@
 
 
 def test_repeated_answer_counts_once():
-    """Guards against one endpoint's duplicated answer forming a majority."""
+    """Guards against counting a duplicated answer of one endpoint as a majority."""
     board = build_board()
     pending = request_confirmation(board, TERM, 1.0)
     probe = take_probe(board)
@@ -92,7 +92,7 @@
 
 
 def test_answer_asked_before_filing_does_not_confirm():
-    """Guards against confirming with answers older than the write."""
+    """Guards against a confirmation by answers to probes older than the request."""
     board = build_board()
     first = request_confirmation(board, TERM, 1.0)
     probe = take_probe(board)
@@ -106,7 +106,7 @@
 
 
 def test_confirmation_is_as_old_as_its_oldest_answer():
-    """Guards against a late answer that makes an old round look fresh."""
+    """Guards against a late answer that makes an old confirmation appear fresh."""
     board = build_board()
     pending = request_confirmation(board, TERM, 1.0)
     old = take_probe(board)
@@ -118,7 +118,7 @@
 
 
 def test_silent_endpoints_delay_rounds_by_a_bound():
-    """Guards against rounds that wait for a dead endpoint or ask without pause."""
+    """Guards against rounds that wait for dead endpoints or follow without delay."""
     board = build_board()
     request_confirmation(board, LOG, 1.0)
     probe = take_probe(board)
--- a/hyssopshelf/failover/tests/test_leases.py
+++ b/hyssopshelf/failover/tests/test_leases.py
@@ -1,16 +1,16 @@
-"""Tests of the store's part in a change of primary."""
+"""Tests of the store calls of a change of primary."""
 
 import pytest
 from result import Err, Ok
 
 from hyssopshelf import base, platform
 from hyssopshelf.failover import leases
-from hyssopshelf.failover.tests import group
+from hyssopshelf.failover.tests import simulated_group
 
 
 @pytest.fixture
 def board():
-    return group.Group().boards["h0"]
+    return simulated_group.SimulatedGroup().boards["h0"]
 
 
 def take_call(board):
@@ -19,8 +19,8 @@
     return calls[-1] if calls else None
 
 
-def claim(board, holder, now):
-    leases.request_lease(board, group.DATABASE, now)
+def claim_promotion(board, holder, now):
+    leases.request_lease(board, simulated_group.DATABASE, now)
     leases.receive_store(board, take_call(board).call_id, Ok(7), now)
     entry = platform.Entry(key="k", value=holder, revision=1)
     swapped = platform.Swapped(succeeded=holder == b"h0", current=entry)
@@ -29,24 +29,24 @@
 
 @pytest.mark.parametrize(("holder", "blocked"), [(b"h0", False), (b"h1", True)])
 def test_lease_of_another_node_blocks_for_a_bounded_time(board, holder, blocked):
-    """Guards against a lease that nobody gives back and that stops failovers."""
-    claim(board, holder, 1.0)
-    assert leases.is_blocked(board, group.DATABASE, 1.1) is blocked
+    """Guards against an unreleased lease that blocks failovers."""
+    claim_promotion(board, holder, 1.0)
+    assert leases.is_blocked(board, simulated_group.DATABASE, 1.1) is blocked
     later = 1.0 + leases.BLOCK_SECONDS
-    assert not leases.is_blocked(board, group.DATABASE, later)
+    assert not leases.is_blocked(board, simulated_group.DATABASE, later)
 
 
 def test_store_that_is_down_blocks_nothing(board):
     """Guards against a failover that waits for the store."""
-    leases.request_lease(board, group.DATABASE, 1.0)
-    assert not leases.is_blocked(board, group.DATABASE, 1.0)
+    leases.request_lease(board, simulated_group.DATABASE, 1.0)
+    assert not leases.is_blocked(board, simulated_group.DATABASE, 1.0)
     leases.receive_store(board, take_call(board).call_id, Err("down"), 2.0)
-    assert not leases.is_blocked(board, group.DATABASE, 2.0)
+    assert not leases.is_blocked(board, simulated_group.DATABASE, 2.0)
 
 
 def test_record_is_written_when_the_store_returns_and_never_goes_back(board):
-    """Guards against a lost record and against an older term over a newer one."""
-    leases.record_primary(board, group.DATABASE, 3, "p/d/a", 1.0)
+    """Guards against a lost record and against overwriting a newer term."""
+    leases.record_primary(board, simulated_group.DATABASE, 3, "p/d/a", 1.0)
     leases.receive_store(board, take_call(board).call_id, Err("down"), 2.0)
     leases.step(board, 1.0 + leases.RETRY_SECONDS)
     leases.receive_store(board, take_call(board).call_id, Ok(None), 6.0)
@@ -57,4 +57,4 @@
     entry = platform.Entry(key=write.key, value=newer, revision=9)
     leases.receive_store(board, take_call(board).call_id, Ok(entry), 11.0)
     assert take_call(board) is None
-    assert group.DATABASE not in board.failover.lease_state.pending_records
+    assert simulated_group.DATABASE not in board.failover.lease_state.pending_records
--- a/hyssopshelf/failover/tests/test_promotion.py
+++ b/hyssopshelf/failover/tests/test_promotion.py
@@ -1,4 +1,4 @@
-"""Tests of promotion: safety under loss, and progress when faults end."""
+"""Tests of promotion: safety under message loss, and progress when faults end."""
 
 import hypothesis
 import pytest
@@ -7,30 +7,30 @@
 
 from hyssopshelf import messages
 from hyssopshelf.failover import pending_confirmations, promotion, terms
-from hyssopshelf.failover.tests import group
+from hyssopshelf.failover.tests import simulated_group
 
 FRESH_SECONDS = 0.2
-"""Time within which a TERM acknowledgement leaves, from the design page."""
+"""Time within which a TERM acknowledgement is sent, from the design page."""
 
 HOSTS = st.sampled_from(["h0", "h1", "h2"])
-NAMES = st.sampled_from([f"{group.DATABASE}/{name}" for name in "abc"])
+NAMES = st.sampled_from([f"{simulated_group.DATABASE}/{name}" for name in "abc"])
 LEVELS = st.sampled_from(list(pending_confirmations.ConfirmationLevel))
 POSITIONS = st.integers(min_value=0, max_value=10**6)
 
 
 class Promotions(stateful.RuleBasedStateMachine):
-    """Promoters, lost and reordered messages, pauses, restarts and writes."""
+    """State machine of promoters, lost or reordered messages, faults and writes."""
 
     def __init__(self):
         super().__init__()
-        self.group = group.Group()
+        self.group = simulated_group.SimulatedGroup()
         self.primaries = {}
         self.waiting = []
         self.acknowledged = []
 
     @stateful.initialize()
     def bring_up(self):
-        """Start from a working group; single steps rarely produce one."""
+        """Start from a working group, which random steps rarely produce."""
         self.group.run(3.0)
 
     @stateful.rule(seconds=st.sampled_from([0.05, 0.3, 0.6, 2.5]))
@@ -58,21 +58,21 @@
     def start_promotion(self, host, excluded):
         board = self.group.boards[host]
         board.failover.promotion_state.earliest_start.clear()
-        old = board.databases[group.DATABASE].primary if excluded else ""
+        old = board.databases[simulated_group.DATABASE].primary if excluded else ""
         reason = promotion.Reason.NO_PRIMARY
-        promotion.start(board, group.DATABASE, reason, old, self.group.now)
+        promotion.start(board, simulated_group.DATABASE, reason, old, self.group.now)
         self.group.collect(host)
 
     @stateful.rule(host=HOSTS, name=NAMES)
     def request_change(self, host, name):
         board = self.group.boards[host]
-        promotion.request_change(board, group.DATABASE, name, self.group.now)
+        promotion.request_change(board, simulated_group.DATABASE, name, self.group.now)
         self.group.collect(host)
 
-    @stateful.rule(name=NAMES, kind=st.sampled_from(["silent", "cut", "heal"]))
+    @stateful.rule(name=NAMES, kind=st.sampled_from(["silent", "isolated", "heal"]))
     def break_or_heal(self, name, kind):
         self.group.silent.discard(name)
-        self.group.cut.discard(name)
+        self.group.isolated.discard(name)
         if kind != "heal":
             getattr(self.group, kind).add(name)
 
@@ -130,7 +130,7 @@
     def teardown(self):
         """Guards against a group that stays without a primary once faults end."""
         self.group.silent.clear()
-        self.group.cut.clear()
+        self.group.isolated.clear()
         self.group.stopped.clear()
         self.group.run(20.0)
         primary = self.group.find_primary()
@@ -152,101 +152,103 @@
 
 @pytest.mark.parametrize("seconds", [0.0, 0.03, 0.3, 0.55, 0.65])
 def test_successor_finishes_after_a_promoter_dies(seconds):
-    """Guards against a promotion that stays half done with its promoter."""
-    fleet = group.Group()
-    fleet.run(4.0)
-    fleet.dead.add(fleet.find_primary())
-    while not any(event == "PROMOTION_STARTED" for *_, event, _ in fleet.logs[-3:]):
-        fleet.run(0.05)
-    promoter = next(h for _, h, event, _ in reversed(fleet.logs) if "START" in event)
-    fleet.run(seconds)
-    fleet.stopped.add(promoter)
-    fleet.run(5.0)
-    assert fleet.find_primary() not in fleet.dead
+    """Guards against a promotion that stays incomplete when its promoter dies."""
+    group = simulated_group.SimulatedGroup()
+    group.run(4.0)
+    group.dead.add(group.find_primary())
+    while not any(event == "PROMOTION_STARTED" for *_, event, _ in group.logs[-3:]):
+        group.run(0.05)
+    promoter = next(h for _, h, event, _ in reversed(group.logs) if "START" in event)
+    group.run(seconds)
+    group.stopped.add(promoter)
+    group.run(5.0)
+    assert group.find_primary() not in group.dead
 
 
 def test_old_primary_follows_and_its_discarded_writes_are_counted():
-    """Guards against a returning primary that keeps or silently drops writes."""
-    fleet = group.Group()
-    fleet.run(4.0)
-    old = fleet.find_primary()
-    fleet.silent.add(old)
-    fleet.write(old), fleet.write(old)
-    fleet.run(4.0)
-    fleet.silent.clear()
-    fleet.run(3.0)
-    assert fleet.instances[old].primary == fleet.find_primary() != old
-    discarded = [fields for *_, event, fields in fleet.logs if "DISCARD" in event]
+    """Guards against an old primary that keeps its writes or drops them uncounted."""
+    group = simulated_group.SimulatedGroup()
+    group.run(4.0)
+    old = group.find_primary()
+    group.silent.add(old)
+    group.write(old), group.write(old)
+    group.run(4.0)
+    group.silent.clear()
+    group.run(3.0)
+    assert group.instances[old].primary == group.find_primary() != old
+    discarded = [fields for *_, event, fields in group.logs if "DISCARD" in event]
     assert discarded and discarded[0]["discarded"] == 2
 
 
 def test_planned_change_that_cannot_finish_ends_the_hold():
-    """Guards against writes that wait for a target which never catches up."""
-    fleet = group.Group()
-    fleet.run(4.0)
-    primary = fleet.find_primary()
-    target = next(name for name in fleet.names if name != primary)
-    fleet.cut.add(target)
-    fleet.write(primary)
-    board = fleet.boards["h0"]
-    assert promotion.request_change(board, group.DATABASE, target, fleet.now)
-    fleet.run(0.5)
-    records = [b.databases[group.DATABASE] for b in fleet.boards.values()]
-    assert all(record.held_until > fleet.now for record in records)
-    fleet.run(2.0)
-    assert all(record.held_until < fleet.now for record in records)
-    assert fleet.find_primary() == primary
+    """Guards against writes that stay held for a target that never catches up."""
+    group = simulated_group.SimulatedGroup()
+    group.run(4.0)
+    primary = group.find_primary()
+    target = next(name for name in group.names if name != primary)
+    group.isolated.add(target)
+    group.write(primary)
+    board = group.boards["h0"]
+    assert promotion.request_change(board, simulated_group.DATABASE, target, group.now)
+    group.run(0.5)
+    records = [b.databases[simulated_group.DATABASE] for b in group.boards.values()]
+    assert all(record.held_until > group.now for record in records)
+    group.run(2.0)
+    assert all(record.held_until < group.now for record in records)
+    assert group.find_primary() == primary
 
 
 def test_planned_change_moves_without_losing_a_write():
     """Guards against a planned change that drops the end of the log."""
-    fleet = group.Group()
-    fleet.run(4.0)
-    primary = fleet.find_primary()
-    target = next(name for name in fleet.names if name != primary)
-    written = fleet.write(primary)
-    promotion.request_change(fleet.boards["h1"], group.DATABASE, target, fleet.now)
-    fleet.run(0.5)
-    assert fleet.find_primary() == target
-    assert fleet.instances[target].read_value("k") == written[1]
+    group = simulated_group.SimulatedGroup()
+    group.run(4.0)
+    primary = group.find_primary()
+    target = next(name for name in group.names if name != primary)
+    written = group.write(primary)
+    promotion.request_change(
+        group.boards["h1"], simulated_group.DATABASE, target, group.now
+    )
+    group.run(0.5)
+    assert group.find_primary() == target
+    assert group.instances[target].read_value("k") == written[1]
 
 
 def test_late_hold_of_an_ended_change_is_ignored():
-    """Guards against a duplicated message that stops writes again."""
-    fleet = group.Group()
-    board = fleet.boards["h0"]
+    """Guards against a duplicated message that holds writes again."""
+    group = simulated_group.SimulatedGroup()
+    board = group.boards["h0"]
     hold = terms.WritesHeld(
-        database=group.DATABASE, change_id="c", term=0, remaining_seconds=3.0
+        database=simulated_group.DATABASE, change_id="c", term=0, remaining_seconds=3.0
     )
     end = terms.WritesHeld(
-        database=group.DATABASE, change_id="c", term=0, remaining_seconds=0.0
+        database=simulated_group.DATABASE, change_id="c", term=0, remaining_seconds=0.0
     )
     for message in (hold, end, hold):
-        terms.base.receive(message, board, "h1", fleet.now)
-    assert board.databases[group.DATABASE].held_until < fleet.now
+        terms.base.receive(message, board, "h1", group.now)
+    assert board.databases[simulated_group.DATABASE].held_until < group.now
 
 
 def test_unknown_primary_of_a_term_in_between_is_waited_out():
-    """Guards against skipping the hold while a newer primary can still acknowledge."""
-    fleet = group.Group()
-    fleet.run(4.0)
-    known = fleet.find_primary()
-    newer, follower = (name for name in fleet.names if name != known)
+    """Guards against a promotion while an unknown primary can still acknowledge."""
+    group = simulated_group.SimulatedGroup()
+    group.run(4.0)
+    known = group.find_primary()
+    newer, follower = (name for name in group.names if name != known)
     fence = messages.Fence(term=2, promoter="other")
     for name in (newer, follower):
-        fleet.instances[name].fence(fence, fleet.now)
+        group.instances[name].fence(fence, group.now)
     order = messages.Promote(term=2, promoter="other")
-    fleet.instances[newer].promote(order, fleet.now)
-    fleet.instances[follower].follow(messages.Follow(term=2, primary=newer), fleet.now)
-    fleet.silent.add(newer)
-    board = fleet.boards["h0"]
-    board.databases[group.DATABASE].fenced_term = 2
+    group.instances[newer].promote(order, group.now)
+    group.instances[follower].follow(messages.Follow(term=2, primary=newer), group.now)
+    group.silent.add(newer)
+    board = group.boards["h0"]
+    board.databases[simulated_group.DATABASE].fenced_term = 2
     reason = promotion.Reason.NO_PRIMARY
-    assert promotion.start(board, group.DATABASE, reason, "", fleet.now)
-    fleet.run(promotion.PROMOTION_DELAY_SECONDS - 0.1)
-    assert 3 not in fleet.promoted
-    fleet.run(0.3)
-    assert 3 in fleet.promoted
+    assert promotion.start(board, simulated_group.DATABASE, reason, "", group.now)
+    group.run(promotion.PROMOTION_DELAY_SECONDS - 0.1)
+    assert 3 not in group.promoted
+    group.run(0.3)
+    assert 3 in group.promoted
 
 
 @pytest.mark.parametrize(
@@ -257,27 +259,27 @@
     ],
 )
 def test_fenced_primary_shortens_the_hold_only_as_a_candidate(excluding, wait):
-    """Guards against an acknowledgement that leaves after the promotion."""
-    fleet = group.Group()
-    fleet.run(4.0)
-    board = fleet.boards["h0"]
-    excluded = fleet.find_primary() if excluding else ""
+    """Guards against an acknowledgement that is sent after the promotion."""
+    group = simulated_group.SimulatedGroup()
+    group.run(4.0)
+    board = group.boards["h0"]
+    excluded = group.find_primary() if excluding else ""
     reason = promotion.Reason.NO_PRIMARY
-    promotion.start(board, group.DATABASE, reason, excluded, fleet.now)
-    started = fleet.now
-    fleet.run(1.0)
-    assert wait <= fleet.promoted[2][1] - started <= wait + 0.2
+    promotion.start(board, simulated_group.DATABASE, reason, excluded, group.now)
+    started = group.now
+    group.run(1.0)
+    assert wait <= group.promoted[2][1] - started <= wait + 0.2
 
 
 def test_group_recovers_after_a_long_time_without_a_majority():
-    """Guards against reports that are never fresh once polls are slow again."""
-    fleet = group.Group()
-    fleet.run(4.0)
+    """Guards against reports that are never fresh at the normal poll interval."""
+    group = simulated_group.SimulatedGroup()
+    group.run(4.0)
     fence = messages.Fence(term=9, promoter="gone")
-    for instance in fleet.instances.values():
-        instance.fence(fence, fleet.now)
-    fleet.silent.update(fleet.names[:2])
-    fleet.run(10.0)
-    fleet.silent.clear()
-    fleet.run(6.0)
-    assert fleet.find_primary()
+    for instance in group.instances.values():
+        instance.fence(fence, group.now)
+    group.silent.update(group.names[:2])
+    group.run(10.0)
+    group.silent.clear()
+    group.run(6.0)
+    assert group.find_primary()
--- a/hyssopshelf/failover/tests/test_watchers.py
+++ b/hyssopshelf/failover/tests/test_watchers.py
@@ -7,7 +7,7 @@
 
 @pytest.mark.parametrize("size", [1, 2, 8, 200])
 def test_every_database_has_each_rank_once(size):
-    """Guards against a database that nobody watches or two hosts watch first."""
+    """Guards against a database without a watcher or with two first watchers."""
     hosts = [f"h{number}" for number in range(size)]
     databases = watchers.DatabaseRing()
     databases.update(frozenset(f"p/d{number}" for number in range(100)))
@@ -21,7 +21,7 @@
 
 
 def test_second_watcher_takes_over_from_the_first():
-    """Guards against a reordering that leaves a failover without a successor."""
+    """Guards against an order in which the second watcher does not come next."""
     hosts = [f"h{number}" for number in range(8)]
     order = watchers.compute_order("p/d", hosts)
     rest = [host for host in hosts if host != order[0]]
