--- a/hyssopshelf/statements/__init__.py
+++ b/hyssopshelf/statements/__init__.py
@@ -1,1 +1,1 @@
-"""The path of a statement on its entry node and its serving node."""
+"""Processing of statements by their entry node and their serving node."""
--- a/hyssopshelf/statements/answers.py
+++ b/hyssopshelf/statements/answers.py
@@ -1,4 +1,8 @@
-"""Answers to callers at the entry node."""
+"""Replies to callers by the entry node.
+
+Handles the answers of serving nodes, confirms acknowledgements again that took
+too long to arrive, and signs the session token that a reply carries.
+"""
 
 from hyssopshelf import base, blackboard, exceptions, invariants, logs, messages
 from hyssopshelf.consistency import tokens
@@ -12,11 +16,15 @@
     exceptions.ErrorKind.REFUSED,
     exceptions.ErrorKind.DEADLINE_PASSED,
 )
-"""Answers of a serving node that tell of too much work."""
+"""Errors of a serving node that count as a sign of overload."""
 
 
 def learn(board, request, message: messages.ServedAnswer) -> None:
-    """Learn from an answer what the entry node needs for its next choices."""
+    """Update the routing and admission state of the entry node from an answer.
+
+    The answer carries the primary and term of the database, the status of the
+    endpoint, and the queueing delay from which the limits are adjusted.
+    """
     statement = request.statement
     database = f"{statement.pool}/{statement.database}"
     terms.learn_primary(board, database, message.term, message.primary)
@@ -37,7 +45,11 @@
 
 
 def is_too_old(request, message: messages.ServedAnswer, now: float) -> bool:
-    """Return whether a bounded read's data exceeded its bound on the way."""
+    """Return whether the data of a bounded read is older than its bound allows.
+
+    The time since the request was sent, less the processing time at the serving
+    node, is an upper bound of the time that the answer was in transit.
+    """
     statement = request.statement
     if (
         message.error is not None
@@ -51,16 +63,16 @@
 
 
 def needs_confirmation(request, message: messages.ServedAnswer, now: float) -> bool:
-    """Return whether an acknowledgement came too late to leave unconfirmed.
+    """Return whether the confirmation of a write is too old to be relied on.
 
     The confirming round began after the statement was sent, so the time since
-    then bounds the age of the confirmation without a shared clock.
+    then is an upper bound of the age of the confirmation, without a shared clock.
     """
     return message.confirmed and now - request.sent_at > completion.FRESHNESS_SECONDS
 
 
 def file_ticket(board, request, message: messages.ServedAnswer, now: float) -> None:
-    """Ask the database's endpoints again before an acknowledgement leaves."""
+    """Request a new confirmation of the primary's term before acknowledging a write."""
     statement = request.statement
     request.answer = message
     ticket_id = f"{TICKET_PREFIX}{message.request_id}"
@@ -78,7 +90,12 @@
 
 
 def settle(board, now: float) -> None:
-    """Answer the statements whose repeated confirmation is decided or overdue."""
+    """Reply to statements whose repeated confirmation has ended.
+
+    A write is acknowledged while its confirmation is at most
+    ``completion.FRESHNESS_SECONDS`` old. An older one is requested again until
+    the deadline; after that the outcome is unknown.
+    """
     for ticket_id in list(board.entry_confirmations):
         ticket = board.tickets.get(ticket_id)
         request = board.entry_confirmations[ticket_id]
@@ -100,7 +117,7 @@
 
 
 def reply(board, request, message: messages.ServedAnswer) -> None:
-    """Send the answer to the caller with the session's new token."""
+    """Send an answer to the caller with an updated session token."""
     invariants.check_reply(request.id, message.request_id)
     statement = request.statement
     token = statement.token
@@ -123,7 +140,7 @@
 
 
 def reply_lost(board, request, message: str) -> None:
-    """Answer that the outcome of a statement is unknown."""
+    """Reply that the outcome of a statement is unknown."""
     board.log(
         logs.LogEvent.STATEMENT_UNKNOWN,
         request=request.id,
@@ -140,7 +157,7 @@
     message: str,
     retry_after_seconds: float = 0.0,
 ) -> None:
-    """Answer a statement with an error of the entry node."""
+    """Reply to a statement with an error that the entry node detected."""
     answer = messages.Answer(
         id=request.statement.id,
         error=kind,
@@ -153,7 +170,7 @@
 
 
 def reply_error(board, caller: str, statement_id: str, problem) -> None:
-    """Answer a statement that was refused before it was routed."""
+    """Reply to a statement that was rejected before it was routed."""
     board.count(f"errors_{problem.kind.value}")
     answer = messages.Answer(
         id=statement_id, error=problem.kind, message=problem.message
@@ -162,7 +179,7 @@
 
 
 def release(board, request, now: float) -> None:
-    """Release the statement's place within the limits."""
+    """Release the statement's share of the admission limits, at most once."""
     if request.admitted:
         request.admitted = False
         statement = request.statement
--- a/hyssopshelf/statements/checks.py
+++ b/hyssopshelf/statements/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a caller's statement before it is routed."""
+"""Validation of a caller's statement before it is routed."""
 
 import attrs
 
@@ -6,22 +6,25 @@
 from hyssopshelf.statements import transactions
 
 MAXIMUM_DEADLINE_SECONDS = 60.0
-"""Longest time a caller may give a statement, in seconds."""
+"""Longest deadline that a caller may set for a statement, in seconds."""
 
 MAXIMUM_VALUE_CHARACTERS = 256 * 1024
-"""Longest value of a write."""
+"""Longest value of a write, in characters."""
 
 
 @attrs.frozen(kw_only=True)
 class Problem:
-    """Why a statement is refused before it is routed."""
+    """Reason for which a statement is rejected before it is routed."""
 
     kind: exceptions.ErrorKind
     message: str
 
 
 def check_statement(board, statement: messages.Statement) -> Problem | None:
-    """Return the first problem of a statement, None if there is none."""
+    """Validate a statement and return the first problem found, or None.
+
+    A draining node accepts only statements of open transactions.
+    """
     if board.draining and not statement.transaction:
         return Problem(
             kind=exceptions.ErrorKind.UNAVAILABLE, message="this node is draining"
--- a/hyssopshelf/statements/completion.py
+++ b/hyssopshelf/statements/completion.py
@@ -1,4 +1,8 @@
-"""Statements at their serving node: endpoint answers, confirmation, outcomes."""
+"""Completion of statements at their serving node.
+
+Applies the answers of endpoints, waits for the confirmation of writes and strong
+reads, and sends the outcome to the entry node.
+"""
 
 from hyssopshelf import base, blackboard, exceptions, invariants, logs, messages
 from hyssopshelf.configuration import resources
@@ -9,13 +13,16 @@
 from hyssopshelf.statements import polling, transactions
 
 FRESHNESS_SECONDS = 0.2
-"""An acknowledgement that rests on the term alone must leave within this time of
-the start of the confirming round. A promoter holds 0.5 s before a promotion, so
-the acknowledged primary has not been replaced when the answer leaves."""
+"""Longest age of a confirmation by term alone when a write is acknowledged, in
+seconds since the confirming round began. A promoter waits 0.5 s before a promotion,
+so the primary has not been replaced when the acknowledgement is sent."""
 
 
 def receive_answer(board, connection_id: str, request_id: str, answer, now) -> None:
-    """Apply an endpoint's answer to the request it belongs to."""
+    """Apply an endpoint's answer to its request.
+
+    An answer to a request that no longer runs on the connection is dropped.
+    """
     served = board.served.get(request_id)
     connection = board.connections.get(connection_id)
     if (
@@ -49,7 +56,11 @@
 
 
 def receive_closed(board, connection_id: str, now: float) -> None:
-    """Apply that a connection closed or broke."""
+    """Remove a closed or broken connection and end its transaction and statement.
+
+    A statement that was sent may have run. A queued statement of the transaction
+    has not run, and the endpoint rolled the transaction back.
+    """
     connection = pool.forget_connection(board, connection_id)
     if connection is None:
         return
@@ -72,7 +83,7 @@
 
 
 def settle(board, now: float) -> None:
-    """Answer the statements whose confirmation is decided."""
+    """Finish statements whose confirmation has ended."""
     for ticket in [t for t in board.tickets.values() if t.outcome is not None]:
         served = board.served.get(ticket.id)
         if served is None:
@@ -82,7 +93,10 @@
 
 
 def expire_request(board, served, now: float) -> None:
-    """End a statement whose deadline passed."""
+    """Finish a statement whose deadline passed after it was sent.
+
+    A connection on which the answer may still arrive is discarded.
+    """
     if served.state is blackboard.ServedState.RUNNING:
         _free_slot(board, served, now)
         connection = board.connections.get(served.connection)
@@ -98,12 +112,12 @@
 def finish_error(
     board, served, kind: exceptions.ErrorKind, message: str, **fields
 ) -> None:
-    """Answer a statement with an error."""
+    """Finish a statement with an error."""
     _finish(board, served, error=kind, message=message, **fields)
 
 
 def finish_unknown(board, served, message: str) -> None:
-    """Answer that the outcome of a statement is unknown."""
+    """Finish a statement whose outcome is unknown."""
     board.log(
         logs.LogEvent.STATEMENT_UNKNOWN,
         request=served.id,
@@ -114,7 +128,7 @@
 
 
 def finish_refused(board, served, refusal: work.Refusal) -> None:
-    """Answer that limits refused a statement before it ran."""
+    """Finish a statement that was refused by a limit before it ran."""
     if served.connection:
         connection = board.connections.get(served.connection)
         if connection is not None and connection.work_id == served.id:
@@ -137,7 +151,7 @@
 
 
 def finish_behind(board, served) -> None:
-    """Answer that the endpoint's state cannot satisfy a read."""
+    """Finish a read that the state of its endpoint does not satisfy."""
     board.log(logs.LogEvent.READ_DISCARDED, request=served.id, endpoint=served.endpoint)
     finish_error(
         board,
@@ -149,7 +163,11 @@
 
 
 def send(board, host: str, answer: messages.ServedAnswer) -> None:
-    """Send an answer to the entry node, which may be this node."""
+    """Send an answer to the entry node.
+
+    If that is this node, the answer is applied when the current event has been
+    handled.
+    """
     if host == board.identity.host:
         board.local_answers.append(answer)
         return
@@ -166,7 +184,10 @@
 
 
 def _finish_lost(board, served) -> None:
-    """End a statement whose connection closed while it ran."""
+    """Finish a statement whose connection closed while it ran.
+
+    Only a commit or a write outside a transaction may have taken effect.
+    """
     operation = served.statement.operation
     if operation is messages.Operation.GET:
         finish_behind(board, served)
@@ -186,7 +207,7 @@
 
 
 def _finish_endpoint_error(board, served, connection, answer, now) -> None:
-    """End a statement that the endpoint did not carry out."""
+    """Finish a statement that the endpoint refused to run."""
     if connection.transaction:
         board.transactions.pop(connection.transaction, None)
         pool.discard_connection(board, connection.id, "transaction ended by an error")
@@ -203,7 +224,7 @@
 
 
 def _advance_connection(board, served, connection, answer, now) -> None:
-    """Move a connection to the state that a successful answer leaves it in."""
+    """Update the state of a connection after a successful answer."""
     operation = served.statement.operation
     if operation is messages.Operation.BEGIN:
         transaction = transactions.make_id(board, served.endpoint)
@@ -227,7 +248,7 @@
 
 
 def _finish_read(board, served, answer, now) -> None:
-    """Check a read's answer against the state in which it ran."""
+    """Check a read against the state of the endpoint when it ran."""
     statement = served.statement
     if statement.transaction:
         _finish_success(board, served, None)
@@ -245,7 +266,7 @@
             board,
             served,
             exceptions.ErrorKind.STALE_TOKEN,
-            "a change of primary discarded what this session wrote or saw",
+            "a change of primary discarded writes that this session made or read",
         )
     elif verdict is reads.Verdict.BEHIND:
         finish_behind(board, served)
@@ -262,11 +283,12 @@
 
 
 def _confirm(board, served, now: float) -> None:
-    """File a ticket for the log end at which a write ran.
+    """Request the confirmation of the log up to its last entry when a write ran.
 
-    The log end always lies in the primary's own term, because a promotion
-    writes an entry. The position of a repeated write may lie in an older term,
-    and a majority that holds an entry of an older term does not make it safe.
+    The last entry always belongs to the primary's own term, because a promotion
+    writes an entry. The position of a repeated write may belong to an older term,
+    and an entry of an older term can be lost although a majority holds it
+    (see section 5.4.2 of the Raft paper).
     """
     level = blackboard.ConfirmationLevel.TERM
     if served.acknowledge == resources.MAJORITY:
@@ -312,9 +334,9 @@
         and served.required is not None
         and positions.is_discarded(answer.status.history, served.required)
     ):
-        # No log holds both what the session had seen and what it now wrote. The
-        # next read has to tell it, also on a replica that still holds the
-        # discarded branch.
+        # No log contains both the position that the session required and the
+        # new one. The mark makes the next read report it, even on a replica
+        # whose log still has the discarded entries.
         seen = positions.mark_discarded(served.required)
     transaction = served.statement.transaction
     if served.statement.operation is messages.Operation.BEGIN:
@@ -368,7 +390,7 @@
 
 
 def _find_status(board, served) -> messages.EndpointStatus | None:
-    """Return the endpoint's state when the statement ran, else its last known."""
+    """Return the endpoint's status when the statement ran, else the last known one."""
     if served.answer is not None:
         return served.answer.status
     record = board.endpoints.get(served.endpoint)
--- a/hyssopshelf/statements/entry.py
+++ b/hyssopshelf/statements/entry.py
@@ -1,4 +1,8 @@
-"""Statements at their entry node: checks, routing, answers to callers."""
+"""Processing of statements by their entry node.
+
+Validates and admits a caller's statement, forwards it to the serving node of an
+endpoint, and routes it again if it did not run.
+"""
 
 from hyssopshelf import base, blackboard, exceptions, logs, messages
 from hyssopshelf.consistency import routing, tokens
@@ -7,26 +11,26 @@
 from hyssopshelf.statements import answers, checks, serving, transactions
 
 GRACE_SECONDS = 0.05
-"""Time after the deadline for which the serving node's answer is awaited."""
+"""Time after the deadline during which an answer is still awaited, in seconds."""
 
 AVOID_SECONDS = 3.0
-"""Time for which a host that took no message is passed over, in seconds."""
+"""Time for which a host to which a message could not be sent is avoided, in seconds."""
 
 SENT_SECONDS = 1.2
-"""Time after which a message was either sent or reported as not sent."""
+"""Time after which a message was sent or was reported as not sent, in seconds."""
 
 TRIAL_SECONDS = 0.25
-"""Time between two trials of a database, in seconds.
+"""Interval at which one parked statement of a database is retried, in seconds.
 
-Without news only one parked statement of a database is routed again; when it
-succeeds the others follow. So an outage costs a few messages a second, however
+The other parked statements are retried when a statement of the database succeeds
+or a new primary is known. An outage thus costs a few messages per second however
 many statements wait, and none of them starves.
 """
 
 
 @base.handle.register
 def handle_statement(event: base.StatementReceived, board, now) -> None:
-    """Check a caller's statement and send it to its serving node."""
+    """Validate and admit a caller's statement and send it to its serving node."""
     statement = event.statement
     problem = checks.check_statement(board, statement)
     if problem is not None:
@@ -59,7 +63,7 @@
 
 @base.handle.register
 def handle_caller_gone(event: base.CallerGone, board, now) -> None:
-    """Cancel the statements of a caller that is gone."""
+    """Cancel the statements of a caller whose connection closed."""
     for request in list(board.requests.values()):
         if request.caller != event.caller:
             continue
@@ -72,7 +76,10 @@
 
 @base.handle.register
 def handle_unsent(event: base.PeerUnsent, board, now) -> None:
-    """Route a statement again whose message was certainly not sent."""
+    """Suspect the host and park the statement whose message was not sent.
+
+    The serving node cannot have received the statement, so it may run elsewhere.
+    """
     hosts.doubt(board, event.host, now)
     if not isinstance(event.message, messages.ForwardStatement):
         return
@@ -84,7 +91,12 @@
 
 @base.receive.register
 def receive_answer(message: messages.ServedAnswer, board, host, now) -> None:
-    """Pass a serving node's answer to the request that it belongs to."""
+    """Reply to a statement, or route it again, when its serving node answers.
+
+    A read is sent to the primary if the endpoint's state or the age of the data
+    does not satisfy it. A statement that did not run is parked, unless it belongs
+    to an open transaction.
+    """
     request = board.requests.get(message.request_id)
     if request is None or request.host != host or request.parked:
         board.log(
@@ -113,7 +125,11 @@
 
 
 def dispatch(board, request, now: float) -> None:
-    """Choose the endpoint and serving node of a statement and send it there."""
+    """Choose the endpoint and serving node of a statement and send it there.
+
+    The statement is parked if there is no target. Each attempt has a new request
+    id, so that a late answer to an earlier attempt is dropped.
+    """
     target = _choose_target(board, request, now)
     if target is None:
         database = board.databases[
@@ -148,7 +164,7 @@
 
 
 def park(board, request, reason: str, now: float, term: int = 0) -> None:
-    """Hold a statement that did not run until it can be routed again."""
+    """Keep a statement that did not run until it can be routed again."""
     request.id = board.next_id()
     request.endpoint = request.host = ""
     request.parked = True
@@ -159,7 +175,7 @@
 
 
 def settle(board, now: float) -> None:
-    """Apply local answers and decided confirmations."""
+    """Apply the answers of this node and reply to confirmed statements."""
     while board.local_answers:
         answer = board.local_answers.pop(0)
         receive_answer(answer, board, board.identity.host, now)
@@ -167,7 +183,7 @@
 
 
 def step(board, now: float) -> None:
-    """Apply deadlines and route parked statements again."""
+    """Apply deadlines and retry parked statements; runs at each tick."""
     for host in [h for h, until in board.avoided_hosts.items() if until <= now]:
         del board.avoided_hosts[host]
     for request in list(board.requests.values()):
@@ -182,7 +198,11 @@
 
 
 def _admit(board, request, now: float) -> bool:
-    """Apply the limits; statements of an open transaction hold a connection."""
+    """Return whether the admission limits accept a statement; reply if not.
+
+    Statements of an open transaction are always accepted, because the transaction
+    occupies a connection until it ends.
+    """
     statement = request.statement
     if statement.transaction:
         return True
@@ -209,7 +229,7 @@
 
 
 def _choose_target(board, request, now):
-    """Return the route of a statement and its serving host, None if unknown."""
+    """Return the route and serving host of a statement, or None if unknown."""
     location = transactions.parse_id(request.statement.transaction)
     if location is not None:
         route = routing.Route(endpoint=location.endpoint, reason="transaction")
@@ -222,10 +242,10 @@
 
 
 def _locate(board, endpoint: str, now: float) -> str:
-    """Return the serving host, its successor while it cannot be reached.
+    """Return the serving host of an endpoint, or its successor if it is avoided.
 
-    Membership needs seconds to agree that a host is dead. Two nodes that serve
-    an endpoint for a while only disturb the order of its work.
+    Membership takes seconds to declare a host dead. Until then two nodes may serve
+    the same endpoint, which affects only the order in which its work runs.
     """
     host = placement.locate(board, endpoint, now)
     if board.avoided_hosts.get(host, now) <= now:
@@ -254,12 +274,12 @@
 
 
 def _may_move(request) -> bool:
-    """Return whether a statement that did not run may run elsewhere."""
+    """Return whether a statement that did not run may run at another endpoint."""
     return not request.statement.transaction
 
 
 def _reroute(board, request, message, now: float) -> None:
-    """Send a read on to the primary."""
+    """Send a read to the primary; park it if that was tried already."""
     board.log(
         logs.LogEvent.STATEMENT_REROUTED,
         request=request.id,
@@ -293,10 +313,10 @@
 
 
 def _is_lost(board, request, now: float) -> bool:
-    """Return whether no answer will come because the serving host is dead.
+    """Return whether the serving host is dead and the statement may have been sent.
 
-    Until the time to send has passed, the statement may turn out not to have
-    been sent at all.
+    Before ``SENT_SECONDS`` have passed, the statement may still be reported as not
+    sent and can then be routed again.
     """
     record = board.hosts.get(request.host)
     if record is None or record.state is not blackboard.HostState.DEAD:
--- a/hyssopshelf/statements/polling.py
+++ b/hyssopshelf/statements/polling.py
@@ -1,19 +1,19 @@
-"""Status polls of the endpoints that this node serves."""
+"""Periodic status polls of the endpoints that this node serves."""
 
 from hyssopshelf import base
 
 POLL_SECONDS = 0.5
-"""Time between two status polls of an endpoint by its serving node."""
+"""Interval between two status polls of an endpoint, in seconds."""
 
 URGENT_POLL_SECONDS = 0.01
-"""Time between two polls while a read waits for a replica to catch up."""
+"""Interval between two polls while a read waits for a replica, in seconds."""
 
 
 def step(board, now: float) -> None:
     """Poll the status of each endpoint that this node serves.
 
-    Only the served ones are looked at: a tick over all 26,400 placements of the
-    target size takes 5 to 11 ms.
+    Only the served endpoints are visited: a tick that visits all 26,400
+    placements of the target size takes 5 to 11 ms.
     """
     for endpoint in sorted(board.placement_state.served):
         if endpoint not in board.endpoints:
@@ -23,7 +23,7 @@
 
 
 def poll_endpoint(board, endpoint: str, interval_seconds: float, now: float) -> None:
-    """Ask an endpoint for its status; poll again after the interval."""
+    """Probe the status of an endpoint and schedule the next poll."""
     board.next_polls[endpoint] = now + interval_seconds
     probe_id = f"poll:{board.next_id()}"
     board.polls[probe_id] = now
@@ -31,14 +31,18 @@
 
 
 def receive_status(board, endpoint: str, probe_id: str, status, now: float) -> None:
-    """Store the answer to a poll of this module."""
+    """Store the status if this module sent the probe."""
     asked_at = board.polls.pop(probe_id, None)
     if asked_at is not None:
         store_status(board, endpoint, status, asked_at)
 
 
 def store_status(board, endpoint: str, status, asked_at: float) -> None:
-    """Store a status unless a newer one is known."""
+    """Store a status unless one that was requested later is known.
+
+    Statuses are ordered by the time of the request, because answers may arrive
+    out of order.
+    """
     record = board.endpoints.get(endpoint)
     if record is None or status is None or asked_at < record.status_asked_at:
         return
--- a/hyssopshelf/statements/replay.py
+++ b/hyssopshelf/statements/replay.py
@@ -1,15 +1,15 @@
-"""Refusal of requests between nodes that arrive twice or late."""
+"""Replay protection: rejects requests between nodes that arrive twice or late."""
 
 RETENTION_SECONDS = 10.0
-"""Time for which a received request number is remembered, in seconds."""
+"""Time for which the number of a received request is stored, in seconds."""
 
 
 def accept_request(board, request_id: str, now: float) -> bool:
-    """Return whether a request id is new; remember it.
+    """Record a request id and return whether it is new.
 
-    Ids carry the sender's host, its incarnation and a counter. A number at or
-    below the floor was received or forgotten, so it is refused: a doubled
-    message must not run a statement again.
+    An id consists of the sender's host, its incarnation and a counter. A counter
+    at or below the floor is rejected, because it may have been received and
+    expired; a duplicated message must not run a statement again.
     """
     sender, _, number = request_id.rpartition(".")
     record = board.sender(sender)
@@ -21,7 +21,7 @@
 
 
 def step(board, now: float) -> None:
-    """Forget request numbers older than the retention time."""
+    """Expire request numbers older than the retention time."""
     horizon = now - RETENTION_SECONDS
     for sender in list(board.senders):
         record = board.senders[sender]
--- a/hyssopshelf/statements/serving.py
+++ b/hyssopshelf/statements/serving.py
@@ -1,4 +1,8 @@
-"""Statements at the serving node of their endpoint: admission and start."""
+"""Admission and start of statements at the serving node of their endpoint.
+
+A statement waits for a replica to catch up, for a free slot of its endpoint and for
+a connection; :mod:`hyssopshelf.statements.completion` handles its answer.
+"""
 
 from hyssopshelf import base, blackboard, exceptions, invariants, logs, messages
 from hyssopshelf.connections import pool
@@ -8,23 +12,27 @@
 from hyssopshelf.statements import completion, polling, replay, transactions
 
 WAIT_SECONDS = 0.05
-"""Longest wait for a replica to reach the position a read needs, in seconds."""
+"""Longest wait for a replica to satisfy a read, in seconds."""
 
 LEAVING_GRACE_SECONDS = 2.0
-"""New work is refused this long after an endpoint was seen leaving; the stated
-bound is 3 s and leaves 1 s for the news to arrive."""
+"""Time after which a leaving endpoint takes no new work, in seconds. The guaranteed
+bound is 3 s, of which 1 s is left for the notice to reach this node."""
 
 DRAIN_GRACE_SECONDS = 1.0
-"""A draining node serves its endpoints for this time, while its peers learn that
-it leaves; later it answers new statements with "not run"."""
+"""Time for which a draining node still accepts forwarded statements, in seconds.
+Meanwhile its peers learn that it leaves; later statements are answered as not run."""
 
 KNOWN_ROLE_SECONDS = 0.5
-"""Time for which a replica's last known role decides without asking it."""
+"""Longest age of a status at which the reported role is relied on, in seconds."""
 
 
 @base.receive.register
 def receive_forward(message: messages.ForwardStatement, board, host, now) -> None:
-    """Admit a forwarded statement."""
+    """Admit a forwarded statement.
+
+    A duplicated or late message is dropped; see
+    :mod:`hyssopshelf.statements.replay`.
+    """
     if not replay.accept_request(board, message.request_id, now):
         board.log(
             logs.LogEvent.MESSAGE_DROPPED,
@@ -52,7 +60,7 @@
 
 @base.receive.register
 def receive_cancel(message: messages.CancelStatement, board, host, now) -> None:
-    """Drop a statement that waits and whose caller is gone."""
+    """Drop a statement that was not sent yet and whose caller disconnected."""
     served = board.served.get(message.request_id)
     if served is None or served.state not in (
         blackboard.ServedState.WAITING,
@@ -66,7 +74,7 @@
 
 
 def _make_request(board, message, host, deadline, now):
-    """Return the record of a forwarded statement, None if it cannot be served."""
+    """Return the record of a forwarded statement, or None if it cannot be served."""
     statement = message.statement
     view = board.pools.get(statement.pool)
     endpoint = board.endpoints.get(message.endpoint)
@@ -103,7 +111,7 @@
 
 
 def _is_leaving(endpoint, now: float) -> bool:
-    """Return whether an endpoint takes no new work any more."""
+    """Return whether an endpoint has been leaving too long to take new work."""
     return (
         endpoint.leaving_at is not None
         and now >= endpoint.leaving_at + LEAVING_GRACE_SECONDS
@@ -172,7 +180,7 @@
 
 
 def _is_known_replica(board, served, now) -> bool:
-    """Return whether a statement needs the primary and this is not it."""
+    """Return whether a statement needs the primary and its endpoint is a replica."""
     record = board.endpoints[served.endpoint]
     if record.status is None or record.status.role is messages.Role.PRIMARY:
         return False
@@ -180,7 +188,7 @@
         return False
     database = board.databases[record.database]
     if database.primary == record.name and record.status.term <= database.term:
-        # The status is older than the promotion that this node has learned of.
+        # The status was reported before the promotion that this node knows of.
         return False
     return _needs_primary(served)
 
@@ -193,9 +201,10 @@
 
 
 def _check_known_state(board, served, now) -> reads.Verdict:
-    """Compare the endpoint's last known state with what a read needs.
+    """Check the endpoint's last known state against the requirements of a read.
 
-    An unknown state counts as satisfied; the check after the read decides.
+    An unknown state counts as satisfied, because the read is checked again against
+    the state in which it ran.
     """
     record = board.endpoints[served.endpoint]
     if record.status is None:
@@ -211,7 +220,7 @@
 
 
 def _wait(board, served, now) -> None:
-    """Hold a read until the replica's state satisfies it, for a short time."""
+    """Delay a read until the replica satisfies it, at most ``WAIT_SECONDS``."""
     served.state = blackboard.ServedState.WAITING
     served.wait_deadline = min(now + WAIT_SECONDS, served.deadline)
     board.waiting_reads[served.id] = served
@@ -219,7 +228,10 @@
 
 
 def _enqueue(board, served, now) -> None:
-    """Put a statement into the endpoint's queue."""
+    """Add a statement to the queue of its endpoint and start what can run.
+
+    Statements that the queue sheds in its favor are refused.
+    """
     served.state = blackboard.ServedState.QUEUED
     view = board.pools[served.statement.pool]
     queue = board.endpoint_queues.get(served.endpoint)
@@ -236,14 +248,18 @@
         other = board.served.get(shed.id)
         if other is not None:
             refusal = work.Refusal(
-                reason="shed for work of more worth", retry_after_seconds=1.0
+                reason="shed in favor of other work", retry_after_seconds=1.0
             )
             completion.finish_refused(board, other, refusal)
     pump(board, served.endpoint, now)
 
 
 def pump(board, endpoint: str, now: float) -> None:
-    """Start statements while the endpoint has free slots and connections."""
+    """Start queued statements while the endpoint has free slots and connections.
+
+    If there is no idle connection, more are opened, and the statement goes back to
+    the queue.
+    """
     queue = board.endpoint_queues.get(endpoint)
     record = board.endpoints.get(endpoint)
     view = board.pools.get(queue.pool) if queue is not None else None
@@ -290,13 +306,13 @@
 
 
 def settle(board, now: float) -> None:
-    """Start work at endpoints where a slot or connection became free."""
+    """Start queued statements where a slot or a connection became free."""
     while board.ready_endpoints:
         pump(board, board.ready_endpoints.pop(), now)
 
 
 def step(board, now: float) -> None:
-    """Apply deadlines and retry endpoints that had no connection."""
+    """Apply deadlines and retry endpoints with waiting work; runs at each tick."""
     for served in list(board.waiting_reads.values()):
         _step_waiting(board, served, now)
     for endpoint, queue in board.endpoint_queues.items():
@@ -312,7 +328,7 @@
 
 
 def receive_status(board, endpoint: str, now: float) -> None:
-    """Look again at the reads that wait for an endpoint's state."""
+    """Check the reads that wait for an endpoint again after it reported its state."""
     for served in list(board.waiting_reads.values()):
         if served.endpoint == endpoint:
             _step_waiting(board, served, now)
@@ -334,7 +350,11 @@
 
 
 def _step_queued(board, served, now) -> None:
-    """Give back work that another endpoint has to run, or can run sooner."""
+    """Return a queued statement to its entry node if it should run elsewhere.
+
+    This applies if the endpoint is leaving, if the statement needs a primary that
+    is now another endpoint, and for reads while no connection can be opened.
+    """
     if served.statement.transaction:
         return
     endpoint = board.endpoints.get(served.endpoint)
@@ -357,7 +377,7 @@
 
 
 def _give_back(board, served, reason: str) -> None:
-    """Answer that a statement did not run, so that its entry node routes it."""
+    """Answer that a statement did not run, so that its entry node routes it again."""
     if _needs_primary(served):
         completion.finish_error(board, served, exceptions.ErrorKind.NOT_RUN, reason)
     else:
--- a/hyssopshelf/statements/transactions.py
+++ b/hyssopshelf/statements/transactions.py
@@ -1,4 +1,4 @@
-"""Open transactions at their serving node."""
+"""Ids and idle timeout of open transactions at their serving node."""
 
 import attrs
 
@@ -6,27 +6,31 @@
 from hyssopshelf.connections import pool
 
 IDLE_SECONDS = 10.0
-"""A transaction without a statement for this time is rolled back, in seconds."""
+"""Time without a statement after which a transaction is rolled back, in seconds."""
 
 _SEPARATOR = "|"
 
 
 @attrs.frozen(kw_only=True)
 class Location:
-    """Where a transaction lives, as its id tells."""
+    """Serving host and endpoint of a transaction, as encoded in its id."""
 
     host: str
     endpoint: str
 
 
 def make_id(board, endpoint: str) -> str:
-    """Return a new transaction id that names its serving node and endpoint."""
+    """Return a new transaction id.
+
+    It contains the serving host and the endpoint, so that any node can route the
+    transaction's statements, and a random part, so that it cannot be guessed.
+    """
     secret = f"{board.random.getrandbits(64):016x}"
     return _SEPARATOR.join((board.identity.host, endpoint, board.next_id(), secret))
 
 
 def parse_id(transaction: str) -> Location | None:
-    """Return where a transaction lives, None if the id is malformed."""
+    """Return the host and endpoint in a transaction id, or None if it is malformed."""
     parts = transaction.split(_SEPARATOR)
     if len(parts) != 4:
         return None
@@ -34,7 +38,7 @@
 
 
 def roll_back(board, transaction: str, reason: str) -> None:
-    """Forget a transaction and close its connection, which rolls it back."""
+    """Remove a transaction and close its connection, which rolls it back."""
     record = board.transactions.pop(transaction, None)
     if record is None:
         return
@@ -48,7 +52,10 @@
 
 
 def step(board, now: float) -> None:
-    """Roll back transactions whose caller sent nothing for too long."""
+    """Roll back transactions that reached their idle deadline.
+
+    A transaction is not idle while one of its statements is queued or runs.
+    """
     for record in list(board.transactions.values()):
         connection = board.connections.get(record.connection)
         busy = connection is not None and connection.work_id
