--- a/hyssopshelf/base.py
+++ b/hyssopshelf/base.py
@@ -1,10 +1,10 @@
-"""Events, actions and the dispatch functions that connect controllers to them.
+"""Define events, actions and the functions that dispatch them to controllers.
 
-The core is a set of controllers over a blackboard. An adapter passes an event
-and the time to :func:`handle`; controllers change the blackboard and append
-actions to ``board.actions``; the adapter carries the actions out. Controllers
-register with ``handle.register`` for an event class and with
-``receive.register`` for a message class.
+The core consists of controllers that share a blackboard and perform no I/O. An
+adapter passes an event and the current time to :func:`handle`; controllers change
+the blackboard and append actions to ``board.actions``; the adapter carries them
+out. Controllers register for an event class with ``handle.register`` and for a
+message class with ``receive.register``.
 """
 
 import functools
@@ -15,7 +15,7 @@
 
 @attrs.frozen(kw_only=True)
 class Event:
-    """Something that an adapter observed."""
+    """Base class of what an adapter reports to the core."""
 
 
 @attrs.frozen(kw_only=True)
@@ -25,7 +25,7 @@
 
 @attrs.frozen(kw_only=True)
 class StatementReceived(Event):
-    """A caller sent a statement; ``caller`` names the reply channel."""
+    """A caller sent a statement; ``caller`` identifies the reply channel."""
 
     caller: str
     statement: Any
@@ -40,7 +40,7 @@
 
 @attrs.frozen(kw_only=True)
 class PeerReceived(Event):
-    """A message of another node arrived from its address."""
+    """A message of another node arrived; ``address`` is where that node listens."""
 
     host: str
     message: Any
@@ -56,7 +56,7 @@
 
 @attrs.frozen(kw_only=True)
 class PeerUnsent(Event):
-    """A message to a peer was not sent; the peer cannot have received it."""
+    """A message could not be sent; the peer cannot have received it."""
 
     host: str
     message: Any
@@ -80,7 +80,7 @@
 
 @attrs.frozen(kw_only=True)
 class ConnectionClosed(Event):
-    """An open connection closed from the other side or broke."""
+    """An open connection was closed by the endpoint or broke."""
 
     connection: str
 
@@ -116,8 +116,7 @@
 class StoreAnswered(Event):
     """A store call ended; ``result`` is a ``result.Result``.
 
-    An ``Err`` tells that the outcome is unknown: the change may have taken
-    effect.
+    ``Err`` means that the outcome is unknown: a change may have taken effect.
     """
 
     call_id: str
@@ -146,7 +145,7 @@
 
 @attrs.frozen(kw_only=True)
 class Action:
-    """Something that an adapter has to carry out."""
+    """Base class of what the core asks an adapter to do."""
 
 
 @attrs.frozen(kw_only=True)
@@ -161,7 +160,7 @@
 class SendPeer(Action):
     """Send a message to the node on another host.
 
-    ``host`` is its name, or its address while the name is not known.
+    ``host`` is the host's name, or its address while the name is unknown.
     """
 
     host: str
@@ -232,28 +231,38 @@
     Parameters
     ----------
     event : Event
-        What happened.
+        The event to apply.
     board : blackboard.Blackboard
         State of the node.
     now : float
         Time on the node's monotonic clock, in seconds.
+
+    Raises
+    ------
+    NotImplementedError
+        If no controller is registered for the class of the event.
     """
     raise NotImplementedError(f"no controller handles {type(event).__name__}")
 
 
 @functools.singledispatch
 def receive(message, board, host, now):
-    """Apply a message of the node on ``host`` to the blackboard.
+    """Apply a message of another node to the blackboard.
 
     Parameters
     ----------
     message : Any
-        A class registered with ``messages.register``.
+        Object of a class registered with ``messages.register``.
     board : blackboard.Blackboard
         State of the receiving node.
     host : str
         Name of the sending host.
     now : float
         Time on the receiving node's monotonic clock, in seconds.
+
+    Raises
+    ------
+    NotImplementedError
+        If no controller is registered for the class of the message.
     """
     raise NotImplementedError(f"no controller receives {type(message).__name__}")
--- a/hyssopshelf/blackboard.py
+++ b/hyssopshelf/blackboard.py
@@ -1,7 +1,7 @@
-"""The blackboard: all state of a node, in typed sections.
+"""Hold the state of a node in one typed object, the blackboard.
 
-State classes live here or in the module of their subject; only controllers
-change them. Nothing in this module performs I/O or reads a clock.
+State classes are defined here or in the package that they belong to, and only
+controllers change them. This module performs no I/O and reads no clock.
 """
 
 import enum
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class Identity:
-    """Who this node is, from its settings.
+    """Identity of a node, from its settings.
 
     Attributes
     ----------
@@ -37,7 +37,8 @@
     place, region : str
         Where the host is; a place is a failure domain of its region.
     incarnation : int
-        Larger at each start of the node, so that old answers can be told apart.
+        Number that increases at each start of the node, so that answers to an
+        earlier process are recognized.
     """
 
     host: str
@@ -49,7 +50,7 @@
 
 @attrs.define(kw_only=True)
 class EndpointRecord:
-    """An endpoint as this node sees it.
+    """State of an endpoint as known to this node.
 
     Attributes
     ----------
@@ -58,14 +59,14 @@
     database : str
         Full name of its database, ``pool/database``.
     status : EndpointStatus or None
-        Last status heard.
+        Last reported status.
     status_asked_at : float
-        Time at which that status was asked for, so that its age is an upper
-        bound whatever the answer's delay.
+        Time at which that status was requested. The age computed from it is an
+        upper bound, however long the answer took.
     leaving_at : float or None
-        Time at which the endpoint was first seen leaving.
+        Time at which this node first saw the endpoint leaving.
     open_after : float
-        No connection is opened before this time.
+        Time before which no connection is opened.
     """
 
     name: str
@@ -81,7 +82,7 @@
 
 @attrs.define(kw_only=True)
 class DatabaseRecord:
-    """A database as this node sees it.
+    """State of a database as known to this node.
 
     Attributes
     ----------
@@ -94,13 +95,15 @@
     primary : str
         Endpoint that is primary in that term, empty if unknown.
     fenced_term : int
-        Highest term known to be proposed; may exceed ``term`` in a failover.
+        Highest term known to be proposed; exceeds ``term`` during a failover.
     served_at : float
         Time of the last successful answer that this entry node received.
     trial_at : float
-        Earliest time at which a parked statement is routed without news.
+        Earliest time at which one parked statement is retried although neither a
+        success nor a new term was seen.
     held_until : float
-        New writes wait until this time or a new term, for a planned change.
+        Time until which new writes wait for a planned change of primary, unless
+        a new term begins earlier.
     """
 
     name: str
@@ -116,16 +119,25 @@
 
 @attrs.define(kw_only=True)
 class EntryRequest:
-    """A statement at its entry node.
+    """State of a statement at its entry node.
 
     Attributes
     ----------
     id : str
         Id of the forwarded request; a new one for each attempt.
+    token_positions : dict of str to Position
+        Positions from the session token by database.
     endpoint, host : str
-        Where the current attempt was sent, empty while parked.
+        Endpoint and serving host of the current attempt, empty while parked.
     parked_term : int
-        While parked: the term that did not take the statement.
+        Term in which the statement could not run; it is routed again when a
+        higher one is known. 0 if it does not wait for a new term.
+    primary_only : bool
+        Whether a read must go to the primary, since a replica did not satisfy it.
+    admitted : bool
+        Whether the statement counts toward the admission limits.
+    answer : ServedAnswer or None
+        Answer whose confirmation is repeated.
     """
 
     id: str
@@ -149,7 +161,12 @@
 
 
 class ServedState(enum.Enum):
-    """States of a statement at its serving node."""
+    """States of a statement at its serving node.
+
+    ``WAITING``: a read waits for the replica to catch up. ``QUEUED``: waits for
+    a slot or a connection. ``RUNNING``: sent to the endpoint. ``CONFIRMING``:
+    waits for a majority of the database's endpoints.
+    """
 
     WAITING = "waiting"
     QUEUED = "queued"
@@ -159,7 +176,21 @@
 
 @attrs.define(kw_only=True)
 class ServedRequest:
-    """A statement at its serving node."""
+    """State of a statement at its serving node.
+
+    Attributes
+    ----------
+    host : str
+        Entry node that receives the answer.
+    required : Position or None
+        Position that the session has seen and a read has to include.
+    acknowledge : str
+        What a write needs before it is acknowledged, from its rank.
+    connection : str
+        Connection on which the statement runs, empty before.
+    wait_deadline : float
+        Time until which a read waits for the replica to catch up.
+    """
 
     id: str
     host: str
@@ -180,12 +211,14 @@
 
 @attrs.define(kw_only=True)
 class TransactionRecord:
-    """An open transaction at its serving node.
+    """State of an open transaction at its serving node.
 
     Attributes
     ----------
     idle_deadline : float
         Time at which it is rolled back if no statement arrives.
+    term : int
+        Term of the primary on which it began.
     """
 
     id: str
@@ -203,9 +236,9 @@
     Attributes
     ----------
     floor : int
-        Numbers up to this one are refused as late or doubled.
+        Numbers up to this one are rejected as late or duplicated.
     received : dict of int to float
-        Numbers above the floor with the time at which they were received.
+        Numbers above the floor and the times at which they were received.
     """
 
     floor: int = 0
@@ -221,14 +254,16 @@
 class Blackboard:
     """All state of a node.
 
+    Times are in seconds on the node's monotonic clock.
+
     Parameters
     ----------
     identity : Identity
-        Who the node is.
+        Identity of the node.
     random : random.Random
         Source of all random choices.
     token_keys : tuple of (str, bytes)
-        Keys of session tokens; the first one signs.
+        Keys of session tokens; the first one signs, all of them verify.
     """
 
     identity: Identity
@@ -294,30 +329,30 @@
     _sequence: int = 0
 
     def next_id(self) -> str:
-        """Return an id that no other node or incarnation uses."""
+        """Return an id that is unique among all nodes and their incarnations."""
         self._sequence += 1
         identity = self.identity
         return f"{identity.host}.{identity.incarnation}.{self._sequence}"
 
     def sender(self, name: str) -> SenderRecord:
-        """Return the record of an incarnation of a node, a new one if unknown."""
+        """Return the record of one incarnation of a node; create it if missing."""
         return self.senders.setdefault(name, SenderRecord())
 
     def add_connection(self, endpoint: str) -> records.ConnectionRecord:
-        """Add the record of a connection that is being opened."""
+        """Add and return the record of a connection that is being opened."""
         record = records.ConnectionRecord(id=self.next_id(), endpoint=endpoint)
         self.connections[record.id] = record
         self.endpoint_connections.setdefault(endpoint, {})[record.id] = record
         return record
 
     def act(self, action: base.Action) -> None:
-        """Append an action for the adapters."""
+        """Append an action for the adapters to carry out."""
         self.actions.append(action)
 
     def log(self, event: logs.LogEvent, **fields) -> None:
-        """Append a log event."""
+        """Append an action that writes a log event."""
         self.actions.append(base.Log(event=event, fields=fields))
 
     def count(self, name: str, amount: float = 1) -> None:
-        """Add to a counter that the metrics page shows."""
+        """Increase a counter that the metrics endpoint reports."""
         self.counters[name] = self.counters.get(name, 0) + amount
--- a/hyssopshelf/node.py
+++ b/hyssopshelf/node.py
@@ -1,4 +1,8 @@
-"""The core of a node: its blackboard and the controllers that work on it."""
+"""Combine the blackboard and the controllers into the core of a node.
+
+The core performs no I/O: it turns each event into actions that an adapter carries
+out.
+"""
 
 import random
 
@@ -21,17 +25,20 @@
 """Time between two ticks, in seconds."""
 
 PAUSE_SECONDS = 0.5
-"""A longer gap between two ticks counts as a pause of the process."""
+"""Gap between two ticks above which the process counts as paused, in seconds."""
 
 QUIET_SECONDS = 1.0
-"""A draining node stops when no statement came from a peer for this time."""
+"""Time without a statement from a peer after which a draining node may stop, in
+seconds."""
 
 REPLY_SECONDS = 0.1
-"""Time that the last answer has to reach its caller before the node stops, and time
-for statements that waited in the sockets of a process that ran late."""
+"""Time that a draining node still runs after its last reply or its last late tick, in
+seconds. The reply can reach its caller, and statements that waited in socket buffers
+while the process was late are read."""
 
 LATE_SECONDS = 0.1
-"""A gap between two ticks beyond which statements may wait in the sockets."""
+"""Gap between two ticks above which statements may wait in socket buffers, in
+seconds."""
 
 STEPS = (
     replay.step,
@@ -50,7 +57,7 @@
     shares.step,
     billing.step,
 )
-"""Periodic work of the controllers, in the order in which it runs."""
+"""Functions that run at each tick, in this order."""
 
 
 class Node:
@@ -59,11 +66,11 @@
     Parameters
     ----------
     identity : blackboard.Identity
-        Who the node is.
+        Identity of the node.
     seed : int
         Seed of the node's random choices.
     token_keys : tuple of (str, bytes)
-        Keys of session tokens; the first one signs.
+        Keys of session tokens; the first one signs, all of them verify.
     """
 
     def __init__(
@@ -83,7 +90,7 @@
         Parameters
         ----------
         event : base.Event
-            What happened.
+            The event to apply.
         now : float
             Time on the node's monotonic clock, in seconds.
         """
@@ -97,10 +104,10 @@
 
 
 def _measure_pause(board, now: float) -> None:
-    """Set the length of a pause of the process that just ended.
+    """Update the length of the pause of the process that ends with this event.
 
-    Work that arrived during a pause carries a remaining time that has partly
-    passed, so its deadline is shortened by the pause until the next tick.
+    A statement that arrived during a pause carries a remaining time that has
+    partly passed. Until the next tick, deadlines are shortened by the pause.
     """
     if board.ticked_at is None:
         return
@@ -113,7 +120,7 @@
 
 
 def _settle(board, now: float) -> None:
-    """Run the controllers that react to changes until nothing is left."""
+    """Run the controllers that react to changes until no work is left."""
     while True:
         completion.settle(board, now)
         serving.settle(board, now)
@@ -125,7 +132,7 @@
 
 @base.handle.register
 def handle_tick(event: base.Ticked, board, now) -> None:
-    """Run the periodic work of all controllers."""
+    """Run the periodic functions of all controllers."""
     for step in STEPS:
         step(board, now)
     board.ticked_at = now
@@ -134,7 +141,7 @@
 
 @base.handle.register
 def handle_peer(event: base.PeerReceived, board, now) -> None:
-    """Pass a message of another node to its controller."""
+    """Dispatch a message of another node to its controller."""
     base.receive(event.message, board, event.host, now)
 
 
@@ -146,7 +153,7 @@
 
 @base.handle.register
 def handle_opened(event: base.ConnectionOpened, board, now) -> None:
-    """Use a connection that is ready."""
+    """Add a connection that is ready to its endpoint's idle connections."""
     pool.receive_opened(board, event.connection, now)
     record = board.connections.get(event.connection)
     if record is not None:
@@ -155,13 +162,13 @@
 
 @base.handle.register
 def handle_failed(event: base.ConnectionFailed, board, now) -> None:
-    """Forget a connection that could not be opened."""
+    """Remove a connection that could not be opened."""
     pool.receive_failed(board, event.connection, event.refused, event.reason, now)
 
 
 @base.handle.register
 def handle_closed(event: base.ConnectionClosed, board, now) -> None:
-    """End the work of a connection that closed."""
+    """End the statement and the transaction of a connection that closed."""
     completion.receive_closed(board, event.connection, now)
 
 
@@ -187,7 +194,7 @@
 
 @base.handle.register
 def handle_store(event: base.StoreAnswered, board, now) -> None:
-    """Pass the end of a store call to the controller that made it."""
+    """Pass the result of a store call to the controller that made it."""
     if leases.receive_store(board, event.call_id, event.result, now):
         return
     if controller.take_store_answer(event, board, now):
@@ -197,7 +204,7 @@
 
 @base.handle.register
 def handle_drain(event: base.DrainRequested, board, now) -> None:
-    """Stop taking new statements; those in flight go on."""
+    """Stop accepting new statements; those in progress continue."""
     if not board.draining:
         board.draining = True
         board.drained_at = now
@@ -205,17 +212,17 @@
 
 
 def prepare_stop(board, now: float) -> list[base.Action]:
-    """Return the last actions of a node that stops."""
+    """Return the actions to carry out before the node stops."""
     billing.flush(board, now)
     actions, board.actions = board.actions, []
     return actions
 
 
 def is_idle(board, now: float) -> bool:
-    """Return whether a draining node can stop without cutting a request.
+    """Return whether a draining node can stop without interrupting a request.
 
-    Peers may forward statements until they have learned that the host leaves,
-    so the node also waits until none has come for a while.
+    Peers may forward statements until they know that the host leaves, so the node
+    also waits until none has arrived for ``QUIET_SECONDS``.
     """
     if board.requests or board.entry_confirmations:
         return False
