--- a/hyssopshelf/__init__.py
+++ b/hyssopshelf/__init__.py
@@ -1,4 +1,4 @@
-"""hyssopshelf: a database proxy with session consistency and ranked service."""
+"""Database proxy with session consistency and priority ranks."""
 
 __version__ = "0.1.0"
 
--- a/hyssopshelf/invariants.py
+++ b/hyssopshelf/invariants.py
@@ -1,31 +1,34 @@
-"""Assertions of the guarantees inside the program.
+"""Check at run time that the node keeps its guarantees.
 
-A node whose state breaks a guarantee stops at once: it keeps nothing, its
-connections close and its transactions roll back, which harms less than a wrong
-answer.
+A violation raises an InvariantError and the node stops at once. Its connections
+close and its transactions roll back, which is less harmful than a wrong answer,
+since a node stores nothing.
 """
 
 from hyssopshelf import exceptions, messages
 from hyssopshelf.consistency import positions
 
 LEAVING_SECONDS = 3.0
-"""A leaving endpoint gets no new work after this time."""
+"""Time after which a leaving endpoint must get no new work, in seconds."""
 
 
 def require(holds: bool, text: str) -> None:
-    """Check an invariant.
+    """Raise an error with the given text unless an invariant holds.
 
     Raises
     ------
     InvariantError
-        If it does not hold.
+        If ``holds`` is False.
     """
     if not holds:
         raise exceptions.InvariantError(text)
 
 
 def check_start(served, endpoint, queued: bool, now: float) -> None:
-    """Check that a statement is sent once, and not to an endpoint that left."""
+    """Check that a statement is sent only once and not to an endpoint that left.
+
+    Statements of an open transaction may still go to a leaving endpoint.
+    """
     require(queued, f"statement {served.id} is sent twice")
     leaving_at = endpoint.leaving_at if endpoint is not None else None
     require(
@@ -37,18 +40,22 @@
 
 
 def check_outcome(served, error, executing: bool, confirming: bool) -> None:
-    """Check that an outcome agrees with what was done for it.
+    """Check that the outcome of a statement agrees with how far it got.
+
+    A write that may have run must not be reported as not run, a write must not be
+    acknowledged without confirmation, and a read must include the position that
+    its session has seen.
 
     Parameters
     ----------
     served : blackboard.ServedRequest
-        The statement.
+        The statement with the endpoint's answer.
     error : ErrorKind or None
         Kind of the error, None for success.
     executing : bool
         Whether the statement was sent to the endpoint.
     confirming : bool
-        Whether it passed the confirmation by a majority.
+        Whether it reached the confirmation by a majority.
     """
     statement, answer = served.statement, served.answer
     refused = answer is not None and answer.error is not None
@@ -74,18 +81,18 @@
             or positions.contains(
                 answer.status.history, answer.status.applied, required
             ),
-            f"read {served.id} lacks what its session has seen",
+            f"read {served.id} misses data that its session has seen",
         )
 
 
 def check_version(pool: str, held: int, new: int) -> None:
-    """Check that a configuration in force is never replaced by a lower one."""
+    """Check that a pool's configuration is not replaced by an older version."""
     require(new >= held, f"pool {pool}: version {new} after version {held}")
 
 
 def check_reply(request_id: str, answered_id: str) -> None:
-    """Check that an answer goes to the request that it belongs to."""
+    """Check that an answer belongs to the request that it is sent for."""
     require(
         request_id == answered_id,
-        f"answer of {answered_id} goes to request {request_id}",
+        f"answer to request {answered_id} is sent for request {request_id}",
     )
--- a/hyssopshelf/messages.py
+++ b/hyssopshelf/messages.py
@@ -1,4 +1,4 @@
-"""Typed statements and answers, and the codec for messages between nodes."""
+"""Define statements and answers, and encode messages between nodes."""
 
 import enum
 from collections.abc import Callable
@@ -17,13 +17,19 @@
 _NAMES: dict[type, str] = {}
 
 MAXIMUM_MESSAGE_BYTES = 4 * 1024 * 1024
-"""Largest message between nodes, in bytes; a document has at most 1 MB."""
+"""Largest message between nodes, in bytes; the largest document has 1 MB."""
 
 T = TypeVar("T")
 
 
 def register(name: str) -> Callable[[type[T]], type[T]]:
-    """Return a decorator that gives a message class its name on the wire."""
+    """Return a decorator that registers a message class under its wire name.
+
+    Raises
+    ------
+    ValueError
+        If another class is registered under the name, when the decorator is applied.
+    """
 
     def add(message_class: type[T]) -> type[T]:
         if name in _CLASSES:
@@ -37,7 +43,7 @@
 
 @attrs.frozen(kw_only=True)
 class Envelope:
-    """A message with its sender.
+    """A message with the host and address of its sender.
 
     Attributes
     ----------
@@ -46,7 +52,7 @@
     address : str
         Address on which the sender's node listens for peers.
     message : object
-        The message.
+        Object of a registered message class.
     """
 
     host: str
@@ -55,7 +61,7 @@
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Encode an envelope for the wire."""
+    """Encode an envelope as msgpack; message fields with their default are omitted."""
     message = envelope.message
     body = _CONVERTER.unstructure(message)
     name = _NAMES[type(message)]
@@ -68,7 +74,7 @@
     Raises
     ------
     CodecError
-        If the data is not a whole message of a registered class.
+        If the data is not a complete message of a registered class.
     """
     try:
         host, address, name, body = msgpack.unpackb(data, strict_map_key=False)
@@ -79,17 +85,17 @@
 
 
 def join_batch(parts: list[bytes]) -> bytes:
-    """Return the wire form of encoded envelopes that travel together."""
+    """Encode a list of encoded envelopes as one batch."""
     return msgpack.packb(parts)
 
 
 def split_batch(data: bytes) -> list[bytes]:
-    """Return the encoded envelopes of a batch.
+    """Split a batch into encoded envelopes.
 
     Raises
     ------
     CodecError
-        If the data is not a whole batch.
+        If the data is not a complete batch.
     """
     try:
         parts = msgpack.unpackb(data)
@@ -101,7 +107,7 @@
 
 
 def structure(data: object, target: type[T]) -> T:
-    """Build an object of a typed attrs class from plain data.
+    """Convert plain data to an object of an attrs class.
 
     Raises
     ------
@@ -115,17 +121,17 @@
 
 
 def unstructure(value: object) -> object:
-    """Return the plain data of an attrs object."""
+    """Convert an attrs object to plain data; fields with their default are omitted."""
     return _CONVERTER.unstructure(value)
 
 
 def to_json(value: object) -> bytes:
-    """Encode an attrs object as JSON; fields with their default are left out."""
+    """Encode an attrs object as JSON; fields with their default are omitted."""
     return _JSON_CONVERTER.dumps(value)
 
 
 def from_json(data: str | bytes, target: type[T]) -> T:
-    """Decode JSON into a typed attrs class.
+    """Decode JSON to an object of an attrs class.
 
     Raises
     ------
@@ -139,7 +145,7 @@
 
 
 class Operation(enum.Enum):
-    """Operations that a caller can ask for."""
+    """Operations that a caller can request."""
 
     GET = "get"
     PUT = "put"
@@ -150,15 +156,15 @@
 
 
 WRITES = frozenset({Operation.PUT, Operation.APPEND, Operation.COMMIT})
-"""Operations whose effect must be confirmed before the answer."""
+"""Operations whose effect must be confirmed before they are acknowledged."""
 
 
 class Consistency(enum.Enum):
-    """What a read has to see.
+    """Consistency levels of reads.
 
-    ``SESSION``: everything that the session wrote or saw. ``BOUNDED``: data
-    no older than the staleness bound of its kind. ``STRONG``: every write
-    acknowledged before the read began.
+    ``SESSION``: includes everything that the session wrote or read. ``BOUNDED``:
+    the data is no older than the staleness bound of the statement's kind.
+    ``STRONG``: includes every write acknowledged before the read began.
     """
 
     SESSION = "session"
@@ -168,7 +174,7 @@
 
 @attrs.frozen(kw_only=True, order=True)
 class Position:
-    """A place in a replicated log: the term that wrote it and its index."""
+    """A position in a replicated log: the term that wrote the entry and its index."""
 
     term: int
     index: int
@@ -176,7 +182,7 @@
 
 @attrs.frozen(kw_only=True)
 class TermStart:
-    """The first index that a term wrote in a log."""
+    """A term in a log and the index of its first entry."""
 
     term: int
     first: int
@@ -189,26 +195,28 @@
     Attributes
     ----------
     id : str
-        The caller's name for the request; the answer repeats it.
-    pool, database, partner, kind : str
-        What the statement addresses and on whose behalf.
+        Id chosen by the caller; the answer repeats it.
+    pool, database : str
+        Database to which the statement goes.
+    partner, kind : str
+        Partner on whose behalf it runs and its kind, which has a rank.
     operation : Operation
-        What to do.
+        Operation to run.
     key : str
         Key of a get, put or append.
     value : str or None
         Value of a put or append.
     consistency : Consistency
-        What a read has to see.
+        Consistency level of a read.
     token : str
         Session token, empty for a new session.
     transaction : str
         Id of the open transaction, empty outside one.
     idempotency_key : str
-        With it a repeat of a write returns the first outcome.
+        Key under which a repeated write returns the first outcome, empty if none.
     remaining_seconds : float
-        Time left when the statement was sent. Hosts share no clock, so the
-        remaining time crosses the wire and the receiver stores a deadline.
+        Time to the deadline when the statement was sent. Hosts share no clock, so
+        the remaining time is sent and the receiver computes its own deadline.
     """
 
     id: str
@@ -242,7 +250,7 @@
 
 
 class Role(enum.Enum):
-    """The part that an endpoint plays in its database."""
+    """Roles of an endpoint in its database."""
 
     PRIMARY = "primary"
     REPLICA = "replica"
@@ -251,7 +259,7 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointStatus:
-    """What an endpoint reports of itself.
+    """Status that an endpoint reports of itself.
 
     Attributes
     ----------
@@ -270,13 +278,15 @@
     lag_seconds : float
         Age of the data visible to reads, 0 on a primary.
     upstream_age_seconds : float
-        Time since the endpoint last heard its primary, 0 on a primary.
+        Time since the endpoint was last in contact with its primary, 0 on a
+        primary.
     primary : str
         The endpoint it follows, its own name on a primary.
     connections : int
-        Open connections.
+        Number of open connections.
     discarded : int
-        Entries that the endpoint dropped when it rejoined as a replica.
+        Number of log entries that the endpoint discarded when it rejoined as a
+        replica.
     """
 
     name: str
@@ -304,7 +314,7 @@
 
 
 class EndpointError(enum.Enum):
-    """Why an endpoint did not carry out a request. None of these ran it."""
+    """Reasons for which an endpoint did not run a request."""
 
     NOT_PRIMARY = "not_primary"
     NO_TRANSACTION = "no_transaction"
@@ -314,7 +324,7 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointAnswer:
-    """An endpoint's answer with its state when the request ran.
+    """An endpoint's answer with its status when the request ran.
 
     ``written`` is the position of a write's log entry, None for a read or for
     a statement inside a transaction before its commit.
@@ -328,7 +338,7 @@
 
 @attrs.frozen(kw_only=True)
 class Fence:
-    """Raise an endpoint's known term; granted only to one promoter a term."""
+    """Raise an endpoint's term; granted to only one promoter per term."""
 
     term: int
     promoter: str
@@ -352,7 +362,7 @@
 
 @attrs.frozen(kw_only=True)
 class ControlAnswer:
-    """Result of a control operation with the endpoint's state after it."""
+    """Result of a control operation with the endpoint's status after it."""
 
     granted: bool
     status: EndpointStatus
@@ -363,8 +373,8 @@
 class ForwardStatement:
     """Ask the serving node to run a statement.
 
-    ``required`` is the position from the session token that a read has to
-    include. ``term`` is the sender's known term of the database.
+    ``required`` is the position from the session token that a read must include.
+    ``term`` is the highest term of the database that the sender knows.
     """
 
     request_id: str
@@ -383,11 +393,13 @@
     Attributes
     ----------
     seen : Position or None
-        Log position that the session has now written or seen.
+        Log position that the session has written or read by this statement.
     behind : bool
-        The read was not run because the endpoint cannot satisfy it.
-    primary, term
-        The serving node's knowledge of the database, for routing.
+        The endpoint's state does not satisfy the read; the primary has to run it.
+    primary : str
+        Primary of the database known to the serving node, empty if unknown.
+    term : int
+        Term of that primary.
     queueing_seconds : float
         Time the statement waited in the queue.
     processing_seconds : float
@@ -395,10 +407,10 @@
     age_seconds : float
         Upper bound of the age of the data that a read returned.
     status : EndpointStatus or None
-        State of the endpoint, for the sender's next choices.
+        Status of the endpoint, used to route later statements.
     confirmed : bool
-        The answer holds only while its term is confirmed; the acknowledgement
-        must leave within the freshness bound or be confirmed again.
+        Whether the write rests on a confirmation of the term alone. It must be
+        acknowledged within the freshness bound or be confirmed again.
     """
 
     request_id: str
@@ -423,6 +435,6 @@
 @register("statements.cancel")
 @attrs.frozen(kw_only=True)
 class CancelStatement:
-    """The caller of a forwarded statement is gone."""
+    """Cancel a forwarded statement whose caller disconnected."""
 
     request_id: str
