--- a/hyssopshelf/connections/__init__.py
+++ b/hyssopshelf/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Pooled connections to endpoints and their states."""
+"""Pools of connections to endpoints."""
--- a/hyssopshelf/connections/pool.py
+++ b/hyssopshelf/connections/pool.py
@@ -1,31 +1,31 @@
-"""The pooled connections of one endpoint at its serving node.
+"""Pool the connections of each endpoint at its serving node.
 
-A connection serves one transaction at a time. A connection whose state is in
-doubt is discarded and never used again.
+A connection serves one transaction at a time. A connection whose state is unknown
+is closed and never reused.
 """
 
 from hyssopshelf import base, exceptions, logs
 from hyssopshelf.connections import records
 
 OPEN_RETRY_SECONDS = 0.1
-"""Pause after a refused or failed attempt to open a connection, in seconds."""
+"""Delay after a refused or failed attempt to open a connection, in seconds."""
 
 IDLE_SECONDS = 30.0
-"""Time after which an unused connection above the slots is closed, in seconds."""
+"""Time after which idle connections in excess of the slots are closed, in seconds."""
 
 UNSERVED_IDLE_SECONDS = 2.0
-"""Time after which an unused connection to an endpoint that another node serves
-is closed, in seconds."""
+"""Time after which idle connections to an endpoint that another node serves are
+closed, in seconds."""
 
 
 def find_connections(board, endpoint: str) -> list:
-    """Return the records of an endpoint's connections."""
+    """Return the records of an endpoint's connections in any state."""
     by_id = board.endpoint_connections.get(endpoint, {})
     return list(by_id.values())
 
 
 def claim_connection(board, endpoint: str, work_id: str):
-    """Return an idle connection, now busy with the work, or None."""
+    """Take the connection that became idle last and mark it busy, None if none is."""
     idle = board.idle_connections.get(endpoint)
     if not idle:
         return None
@@ -37,22 +37,22 @@
 
 
 def check_usable(record) -> None:
-    """Check that a connection carries neither work nor a transaction.
+    """Check that no request or transaction uses a connection.
 
     Raises
     ------
     InvariantError
-        If it does; statements of two transactions would mix.
+        If one does; the statements of two transactions would mix.
     """
     if record.work_id or record.transaction:
         raise exceptions.InvariantError(
-            f"connection {record.id} is claimed while it serves "
+            f"connection {record.id} is claimed while it is used by "
             f"{record.work_id or record.transaction}"
         )
 
 
 def release_connection(board, record, now: float) -> None:
-    """Make a connection idle after its request or transaction ended."""
+    """Mark a connection idle after its request or transaction ended."""
     record.work_id = ""
     record.transaction = ""
     record.state = records.ConnectionState.IDLE
@@ -61,14 +61,14 @@
 
 
 def hold_connection(board, record, transaction: str) -> None:
-    """Keep a connection for an open transaction between its statements."""
+    """Reserve a connection for an open transaction between its statements."""
     record.work_id = ""
     record.transaction = transaction
     record.state = records.ConnectionState.IN_TRANSACTION
 
 
 def discard_connection(board, connection: str, reason: str) -> None:
-    """Close a connection and forget it; its transaction rolls back."""
+    """Close and remove a connection; the endpoint rolls its transaction back."""
     record = forget_connection(board, connection)
     if record is None:
         return
@@ -82,7 +82,7 @@
 
 
 def forget_connection(board, connection: str):
-    """Remove a connection that is closed; return its record or None."""
+    """Remove a closed connection from the pool; return its record, None if unknown."""
     record = board.connections.pop(connection, None)
     if record is None:
         return None
@@ -94,7 +94,11 @@
 
 
 def open_connections(board, endpoint: str, wanted: int, limit: int, now: float):
-    """Open connections until ``wanted`` are idle or opening, within ``limit``."""
+    """Open connections until ``wanted`` are idle or opening.
+
+    ``limit`` bounds all connections of this node to the endpoint. Nothing is opened
+    for ``OPEN_RETRY_SECONDS`` after a failed attempt.
+    """
     record = board.endpoints[endpoint]
     if now < record.open_after:
         return
@@ -110,10 +114,10 @@
 
 
 def step(board, now: float) -> None:
-    """Close connections that are not needed any more.
+    """Close connections that are no longer needed; runs at each tick.
 
-    An endpoint accepts few connections. Those of a node that no longer serves
-    it would keep the serving node from opening its own.
+    An endpoint accepts only a few connections. Those of a node that no longer
+    serves it would prevent the serving node from opening its own.
     """
     for endpoint in list(board.idle_connections):
         record = board.endpoints.get(endpoint)
@@ -125,7 +129,7 @@
 
 
 def close_idle_connections(board, endpoint: str, kept: int, before: float) -> None:
-    """Close connections that became idle before a time, keeping some open."""
+    """Close connections idle since before a time, but leave at least ``kept`` idle."""
     idle = board.idle_connections.get(endpoint, [])
     for record in list(idle):
         if len(idle) <= kept or record.idle_at > before:
@@ -134,7 +138,7 @@
 
 
 def receive_opened(board, connection: str, now: float) -> None:
-    """Apply that a connection is ready."""
+    """Mark an opened connection idle; close it if it is no longer in the pool."""
     record = board.connections.get(connection)
     if record is None:
         board.act(base.CloseConnection(connection=connection))
@@ -148,7 +152,7 @@
 
 
 def receive_failed(board, connection: str, refused: bool, reason: str, now: float):
-    """Apply that a connection could not be opened."""
+    """Remove a connection that failed to open and delay the next attempt."""
     record = forget_connection(board, connection)
     if record is None:
         return
--- a/hyssopshelf/connections/records.py
+++ b/hyssopshelf/connections/records.py
@@ -1,4 +1,4 @@
-"""State of a pooled connection."""
+"""Define the state of a pooled connection."""
 
 import enum
 
@@ -6,7 +6,10 @@
 
 
 class ConnectionState(enum.Enum):
-    """States of a pooled connection."""
+    """States of a pooled connection.
+
+    ``IN_TRANSACTION``: belongs to an open transaction, between its statements.
+    """
 
     OPENING = "opening"
     IDLE = "idle"
@@ -16,14 +19,14 @@
 
 @attrs.define(kw_only=True)
 class ConnectionRecord:
-    """A pooled connection.
+    """State of a pooled connection.
 
     Attributes
     ----------
     transaction : str
-        Transaction that owns the connection, empty if none.
+        Id of the open transaction that uses the connection, empty if none.
     work_id : str
-        Request that runs on it, empty if none.
+        Id of the request that runs on it, empty if none.
     idle_at : float
         Time at which it last became idle.
     """
--- a/hyssopshelf/demo.py
+++ b/hyssopshelf/demo.py
@@ -1,6 +1,6 @@
-"""The whole path in one process: stand-in platform, database group, two proxies.
+"""Run a platform stand-in, a database group and two proxies in one process.
 
-Run it with ``make demo``. All servers listen on 127.0.0.1.
+Start it with ``make demo``. All servers listen on 127.0.0.1.
 """
 
 import asyncio
@@ -70,7 +70,7 @@
 
 
 async def start_endpoints() -> dict[str, endpoint.EndpointServer]:
-    """Start three instances; none is primary until the proxies promote one."""
+    """Start three database instances; the proxies promote one of them to primary."""
     servers = {}
     for name in "abc":
         full_name = f"{POOL}/{DATABASE}/{name}"
@@ -86,7 +86,10 @@
 
 
 def find_free_addresses(count: int) -> list[str]:
-    """Return loopback addresses whose ports were free a moment ago."""
+    """Return loopback addresses with free ports.
+
+    The ports are closed again, so another process may take them.
+    """
     sockets = [tornado.netutil.bind_sockets(0, "127.0.0.1")[0] for _ in range(count)]
     addresses = [f"127.0.0.1:{socket.getsockname()[1]}" for socket in sockets]
     for socket in sockets:
@@ -149,7 +152,7 @@
 
 
 async def run_session(addresses: dict[str, str]) -> None:
-    """Write an order through one proxy and read it back through the other."""
+    """Write an order through one proxy and read it through the other."""
     session = client.Session(
         proxies=tuple(addresses.values()),
         pool=POOL,
@@ -175,7 +178,7 @@
 
 
 async def run() -> None:
-    """Run the demo."""
+    """Start all servers, run the session and stop the servers."""
     logs.configure(form="text", level="INFO")
     keeper, listing, urls = start_platform()
     endpoints = await start_endpoints()
