--- a/benchmarks/faults/variants.py
+++ b/benchmarks/faults/variants.py
@@ -143,7 +143,7 @@
 )
 def share_connection_of_transaction(board, endpoint, work_id):
     """Let other work use a connection between a transaction's statements."""
-    for record in pool.find_connections(board, endpoint):
+    for record in pool.list_connections(board, endpoint):
         held = record.state is records.ConnectionState.IN_TRANSACTION
         if held and not record.work_id:
             record.work_id = work_id
--- a/hyssopshelf/connections/pool.py
+++ b/hyssopshelf/connections/pool.py
@@ -18,7 +18,7 @@
 closed, in seconds."""
 
 
-def find_connections(board, endpoint: str) -> list:
+def list_connections(board, endpoint: str) -> list:
     """Return the records of an endpoint's connections in any state."""
     by_id = board.endpoint_connections.get(endpoint, {})
     return list(by_id.values())
@@ -56,11 +56,11 @@
     record.work_id = ""
     record.transaction = ""
     record.state = records.ConnectionState.IDLE
-    record.idle_at = now
+    record.idle_since = now
     board.idle_connections.setdefault(record.endpoint, []).append(record)
 
 
-def hold_connection(board, record, transaction: str) -> None:
+def pin_connection(board, record, transaction: str) -> None:
     """Reserve a connection for an open transaction between its statements."""
     record.work_id = ""
     record.transaction = transaction
@@ -69,7 +69,7 @@
 
 def discard_connection(board, connection: str, reason: str) -> None:
     """Close and remove a connection; the endpoint rolls its transaction back."""
-    record = forget_connection(board, connection)
+    record = remove_connection(board, connection)
     if record is None:
         return
     board.act(base.CloseConnection(connection=connection))
@@ -81,7 +81,7 @@
     )
 
 
-def forget_connection(board, connection: str):
+def remove_connection(board, connection: str):
     """Remove a closed connection from the pool; return its record, None if unknown."""
     record = board.connections.pop(connection, None)
     if record is None:
@@ -107,8 +107,8 @@
     opening = sum(
         1 for c in by_id.values() if c.state is records.ConnectionState.OPENING
     )
-    room = limit - len(by_id)
-    for _ in range(min(room, wanted - idle - opening)):
+    available = limit - len(by_id)
+    for _ in range(min(available, wanted - idle - opening)):
         connection = board.add_connection(endpoint)
         board.act(base.OpenConnection(endpoint=endpoint, connection=connection.id))
 
@@ -132,7 +132,7 @@
     """Close connections idle since before a time, but leave at least ``kept`` idle."""
     idle = board.idle_connections.get(endpoint, [])
     for record in list(idle):
-        if len(idle) <= kept or record.idle_at > before:
+        if len(idle) <= kept or record.idle_since > before:
             return
         discard_connection(board, record.id, "idle")
 
@@ -153,7 +153,7 @@
 
 def receive_failed(board, connection: str, refused: bool, reason: str, now: float):
     """Remove a connection that failed to open and delay the next attempt."""
-    record = forget_connection(board, connection)
+    record = remove_connection(board, connection)
     if record is None:
         return
     board.endpoints[record.endpoint].open_after = now + OPEN_RETRY_SECONDS
--- a/hyssopshelf/connections/records.py
+++ b/hyssopshelf/connections/records.py
@@ -27,7 +27,7 @@
         Id of the open transaction that uses the connection, empty if none.
     work_id : str
         Id of the request that runs on it, empty if none.
-    idle_at : float
+    idle_since : float
         Time at which it last became idle.
     """
 
@@ -36,4 +36,4 @@
     state: ConnectionState = ConnectionState.OPENING
     transaction: str = ""
     work_id: str = ""
-    idle_at: float = 0.0
+    idle_since: float = 0.0
--- a/hyssopshelf/statements/completion.py
+++ b/hyssopshelf/statements/completion.py
@@ -61,7 +61,7 @@
     A statement that was sent may have run. A queued statement of the transaction
     has not run, and the endpoint rolled the transaction back.
     """
-    connection = pool.forget_connection(board, connection_id)
+    connection = pool.remove_connection(board, connection_id)
     if connection is None:
         return
     if connection.transaction:
@@ -236,11 +236,11 @@
             idle_deadline=now + transactions.IDLE_SECONDS,
             term=answer.status.term,
         )
-        pool.hold_connection(board, connection, transaction)
+        pool.pin_connection(board, connection, transaction)
         return
     ended = operation in (messages.Operation.COMMIT, messages.Operation.ROLLBACK)
     if connection.transaction and not ended:
-        pool.hold_connection(board, connection, connection.transaction)
+        pool.pin_connection(board, connection, connection.transaction)
         return
     if connection.transaction:
         board.transactions.pop(connection.transaction, None)
