--- a/hyssopshelf/demo.py
+++ b/hyssopshelf/demo.py
@@ -77,11 +77,13 @@
         servers[full_name] = endpoint.EndpointServer(
             instance=database.Instance(name=full_name)
         )
-    for started in servers.values():
-        started.start()
-    addresses = {name: started.address for name, started in servers.items()}
-    for started in servers.values():
-        started.peers.update(addresses)
+    for endpoint_server in servers.values():
+        endpoint_server.start()
+    addresses = {
+        name: endpoint_server.address for name, endpoint_server in servers.items()
+    }
+    for endpoint_server in servers.values():
+        endpoint_server.peers.update(addresses)
     return servers
 
 
@@ -99,13 +101,13 @@
 
 def start_platform() -> tuple[store.StoreServer, hostlist.HostListServer, dict]:
     """Start the key-value store and the host list; return them with their URLs."""
-    keeper = store.StoreServer(store=keyvalue.KeyValueStore())
-    listing = hostlist.HostListServer(hosts=hostlist.HostList())
+    store_server = store.StoreServer(store=keyvalue.KeyValueStore())
+    host_list_server = hostlist.HostListServer(hosts=hostlist.HostList())
     urls = {
-        "store": f"http://127.0.0.1:{keeper.start()}",
-        "hosts": f"http://127.0.0.1:{listing.start()}",
+        "store": f"http://127.0.0.1:{store_server.start()}",
+        "hosts": f"http://127.0.0.1:{host_list_server.start()}",
     }
-    return keeper, listing, urls
+    return store_server, host_list_server, urls
 
 
 def start_proxies(urls: dict, hosts: hostlist.HostList) -> tuple[dict, dict]:
@@ -180,9 +182,9 @@
 async def run() -> None:
     """Start all servers, run the session and stop the servers."""
     logs.configure(form="text", level="INFO")
-    keeper, listing, urls = start_platform()
+    store_server, host_list_server, urls = start_platform()
     endpoints = await start_endpoints()
-    proxies, addresses = start_proxies(urls, listing.hosts)
+    proxies, addresses = start_proxies(urls, host_list_server.hosts)
     print(f"platform: store at {urls['store']}, host list at {urls['hosts']}")
     print(f"endpoints: {', '.join(endpoints)}")
     print(f"proxies: {', '.join(f'{h} at {a}' for h, a in addresses.items())}")
@@ -191,8 +193,8 @@
     await run_session(addresses)
     for engine in proxies.values():
         engine.stop()
-    for started in (*endpoints.values(), keeper, listing):
-        await started.stop()
+    for stand_in in (*endpoints.values(), store_server, host_list_server):
+        await stand_in.stop()
 
 
 def main() -> None:
