--- a/benchmarks/faults/callers.py
+++ b/benchmarks/faults/callers.py
@@ -270,7 +270,7 @@
         connection, self._connection = self._connection, ""
         self.around.replies.pop(connection, None)
         process = self.around.nodes[self._host]
-        gone = base.CallerGone(caller=connection)
+        gone = base.CallerDisconnected(caller=connection)
         delay = self._network.draw_delay(self.name, self._host)
         incarnation = process.incarnation
 
--- a/benchmarks/faults/variants.py
+++ b/benchmarks/faults/variants.py
@@ -97,7 +97,7 @@
 )
 
 
-@add_variant(answers, "reply_lost", "ran_twice")
+@add_variant(answers, "reply_unknown", "ran_twice")
 def repeat_unknown_write(board, request, message):
     """Send a statement again whose outcome is unknown."""
     request.deadline = board.now + 3.0
--- a/hyssopshelf/base.py
+++ b/hyssopshelf/base.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class CallerGone(Event):
+class CallerDisconnected(Event):
     """The connection of a caller closed."""
 
     caller: str
--- a/hyssopshelf/blackboard.py
+++ b/hyssopshelf/blackboard.py
@@ -98,7 +98,7 @@
         Highest term known to be proposed; exceeds ``term`` during a failover.
     served_at : float
         Time of the last successful answer that this entry node received.
-    trial_at : float
+    parked_retry_at : float
         Earliest time at which one parked statement is retried although neither a
         success nor a new term was seen.
     held_until : float
@@ -113,7 +113,7 @@
     primary: str = ""
     fenced_term: int = 0
     served_at: float = float("-inf")
-    trial_at: float = float("-inf")
+    parked_retry_at: float = float("-inf")
     held_until: float = float("-inf")
 
 
@@ -324,7 +324,7 @@
     drained_at: float = float("-inf")
     forwarded_at: float = float("-inf")
     replied_at: float = float("-inf")
-    late_at: float = float("-inf")
+    late_tick_at: float = float("-inf")
     configuration_ready: bool = False
     _sequence: int = 0
 
@@ -334,7 +334,7 @@
         identity = self.identity
         return f"{identity.host}.{identity.incarnation}.{self._sequence}"
 
-    def sender(self, name: str) -> SenderRecord:
+    def get_sender(self, name: str) -> SenderRecord:
         """Return the record of one incarnation of a node; create it if missing."""
         return self.senders.setdefault(name, SenderRecord())
 
--- a/hyssopshelf/node.py
+++ b/hyssopshelf/node.py
@@ -27,16 +27,16 @@
 PAUSE_SECONDS = 0.5
 """Gap between two ticks above which the process counts as paused, in seconds."""
 
-QUIET_SECONDS = 1.0
+FORWARD_QUIET_SECONDS = 1.0
 """Time without a statement from a peer after which a draining node may stop, in
 seconds."""
 
-REPLY_SECONDS = 0.1
+REPLY_GRACE_SECONDS = 0.1
 """Time that a draining node still runs after its last reply or its last late tick, in
 seconds. The reply can reach its caller, and statements that waited in socket buffers
 while the process was late are read."""
 
-LATE_SECONDS = 0.1
+LATE_TICK_SECONDS = 0.1
 """Gap between two ticks above which statements may wait in socket buffers, in
 seconds."""
 
@@ -112,8 +112,8 @@
     if board.ticked_at is None:
         return
     gap = now - board.ticked_at
-    if gap > LATE_SECONDS:
-        board.late_at = now
+    if gap > LATE_TICK_SECONDS:
+        board.late_tick_at = now
     if gap > PAUSE_SECONDS and board.pause_seconds == 0.0:
         board.log(logs.LogEvent.PAUSE_NOTICED, seconds=round(gap, 3))
     board.pause_seconds = gap if gap > PAUSE_SECONDS else 0.0
@@ -222,12 +222,12 @@
     """Return whether a draining node can stop without interrupting a request.
 
     Peers may forward statements until they know that the host leaves, so the node
-    also waits until none has arrived for ``QUIET_SECONDS``.
+    also waits until none has arrived for ``FORWARD_QUIET_SECONDS``.
     """
     if board.requests or board.entry_confirmations:
         return False
     if board.served or board.transactions:
         return False
-    if now - max(board.replied_at, board.late_at) < REPLY_SECONDS:
+    if now - max(board.replied_at, board.late_tick_at) < REPLY_GRACE_SECONDS:
         return False
-    return now - max(board.drained_at, board.forwarded_at) >= QUIET_SECONDS
+    return now - max(board.drained_at, board.forwarded_at) >= FORWARD_QUIET_SECONDS
--- a/hyssopshelf/runtime/engine.py
+++ b/hyssopshelf/runtime/engine.py
@@ -102,7 +102,7 @@
     def forget_caller(self, caller: str) -> None:
         """Forget a caller and cancel its statements."""
         if self.replies.pop(caller, None) is not None:
-            self.emit(base.CallerGone(caller=caller))
+            self.emit(base.CallerDisconnected(caller=caller))
 
     def stop(self) -> None:
         """Pass on what must not be lost, and close all adapters."""
--- a/hyssopshelf/statements/answers.py
+++ b/hyssopshelf/statements/answers.py
@@ -19,7 +19,7 @@
 """Errors of a serving node that count as a sign of overload."""
 
 
-def learn(board, request, message: messages.ServedAnswer) -> None:
+def update_board(board, request, message: messages.ServedAnswer) -> None:
     """Update the routing and admission state of the entry node from an answer.
 
     The answer carries the primary and term of the database, the status of the
@@ -71,7 +71,9 @@
     return message.confirmed and now - request.sent_at > completion.FRESHNESS_SECONDS
 
 
-def file_ticket(board, request, message: messages.ServedAnswer, now: float) -> None:
+def request_confirmation(
+    board, request, message: messages.ServedAnswer, now: float
+) -> None:
     """Request a new confirmation of the primary's term before acknowledging a write."""
     statement = request.statement
     request.answer = message
@@ -99,8 +101,8 @@
     for ticket_id in list(board.entry_confirmations):
         ticket = board.tickets.get(ticket_id)
         request = board.entry_confirmations[ticket_id]
-        late = now >= request.deadline
-        if ticket is not None and ticket.outcome is None and not late:
+        is_overdue = now >= request.deadline
+        if ticket is not None and ticket.outcome is None and not is_overdue:
             continue
         del board.entry_confirmations[ticket_id]
         board.tickets.pop(ticket_id, None)
@@ -110,10 +112,10 @@
         )
         if confirmed and now - ticket.confirmed_from <= completion.FRESHNESS_SECONDS:
             reply(board, request, request.answer)
-        elif confirmed and not late:
-            file_ticket(board, request, request.answer, now)
+        elif confirmed and not is_overdue:
+            request_confirmation(board, request, request.answer, now)
         else:
-            reply_lost(board, request, "the primary was replaced")
+            reply_unknown(board, request, "the primary was replaced")
 
 
 def reply(board, request, message: messages.ServedAnswer) -> None:
@@ -139,7 +141,7 @@
     _send(board, request, answer)
 
 
-def reply_lost(board, request, message: str) -> None:
+def reply_unknown(board, request, message: str) -> None:
     """Reply that the outcome of a statement is unknown."""
     board.log(
         logs.LogEvent.STATEMENT_UNKNOWN,
--- a/hyssopshelf/statements/checks.py
+++ b/hyssopshelf/statements/checks.py
@@ -51,10 +51,10 @@
 
 def _check_fields(statement: messages.Statement) -> Problem | None:
     operation = statement.operation
-    writing = operation in (messages.Operation.PUT, messages.Operation.APPEND)
-    if (writing or operation is messages.Operation.GET) and not statement.key:
+    is_write = operation in (messages.Operation.PUT, messages.Operation.APPEND)
+    if (is_write or operation is messages.Operation.GET) and not statement.key:
         return _bad_request("key must not be empty")
-    if writing and statement.value is None:
+    if is_write and statement.value is None:
         return _bad_request(f"{operation.value} needs a value")
     if statement.value and len(statement.value) > MAXIMUM_VALUE_CHARACTERS:
         return _bad_request(
@@ -64,8 +64,11 @@
         return _bad_request(
             f"remaining_seconds must be in (0, {MAXIMUM_DEADLINE_SECONDS:g}]"
         )
-    ends = operation in (messages.Operation.COMMIT, messages.Operation.ROLLBACK)
-    if ends and not statement.transaction:
+    ends_transaction = operation in (
+        messages.Operation.COMMIT,
+        messages.Operation.ROLLBACK,
+    )
+    if ends_transaction and not statement.transaction:
         return _bad_request(f"{operation.value} needs a transaction")
     if operation is messages.Operation.BEGIN and statement.transaction:
         return _bad_request("a transaction is already open")
--- a/hyssopshelf/statements/completion.py
+++ b/hyssopshelf/statements/completion.py
@@ -46,7 +46,7 @@
     if answer.error is not None:
         _finish_endpoint_error(board, served, connection, answer, now)
         return
-    _advance_connection(board, served, connection, answer, now)
+    _update_connection(board, served, connection, answer, now)
     if served.statement.operation is messages.Operation.GET:
         _finish_read(board, served, answer, now)
     elif answer.written is not None:
@@ -72,7 +72,7 @@
         return
     if served.state is blackboard.ServedState.RUNNING:
         _free_slot(board, served, now)
-        _finish_lost(board, served)
+        _finish_disconnected(board, served)
         return
     queue = board.endpoint_queues.get(served.endpoint)
     if queue is not None:
@@ -183,7 +183,7 @@
     board.ready_endpoints.add(served.endpoint)
 
 
-def _finish_lost(board, served) -> None:
+def _finish_disconnected(board, served) -> None:
     """Finish a statement whose connection closed while it ran.
 
     Only a commit or a write outside a transaction may have taken effect.
@@ -223,7 +223,7 @@
     finish_error(board, served, kinds[answer.error], text)
 
 
-def _advance_connection(board, served, connection, answer, now) -> None:
+def _update_connection(board, served, connection, answer, now) -> None:
     """Update the state of a connection after a successful answer."""
     operation = served.statement.operation
     if operation is messages.Operation.BEGIN:
@@ -277,7 +277,7 @@
             term=answer.status.term, index=answer.status.applied
         )
         level = blackboard.ConfirmationLevel.TERM
-        _file_ticket(board, served, position, level, now)
+        _request_confirmation(board, served, position, level, now)
     else:
         _finish_success(board, served, reads.find_seen(answer.status))
 
@@ -295,10 +295,10 @@
         level = blackboard.ConfirmationLevel.LOG
     status = served.answer.status
     position = messages.Position(term=status.term, index=status.position)
-    _file_ticket(board, served, position, level, now)
+    _request_confirmation(board, served, position, level, now)
 
 
-def _file_ticket(board, served, position, level, now) -> None:
+def _request_confirmation(board, served, position, level, now) -> None:
     served.state = blackboard.ServedState.CONFIRMING
     statement = served.statement
     board.tickets[served.id] = blackboard.Ticket(
@@ -312,19 +312,19 @@
 
 
 def _finish_ticket(board, served, ticket, now: float) -> None:
-    reading = served.statement.operation is messages.Operation.GET
+    is_read = served.statement.operation is messages.Operation.GET
     if ticket.outcome is blackboard.ConfirmationOutcome.REPLACED:
-        if reading:
+        if is_read:
             finish_behind(board, served)
         else:
             finish_unknown(board, served, "the primary was replaced")
         return
     by_term = ticket.level is blackboard.ConfirmationLevel.TERM
-    if by_term and not reading and now - ticket.confirmed_from > FRESHNESS_SECONDS:
-        _file_ticket(board, served, ticket.position, ticket.level, now)
+    if by_term and not is_read and now - ticket.confirmed_from > FRESHNESS_SECONDS:
+        _request_confirmation(board, served, ticket.position, ticket.level, now)
         return
-    seen = reads.find_seen(served.answer.status) if reading else served.answer.written
-    _finish_success(board, served, seen, by_term and not reading)
+    seen = reads.find_seen(served.answer.status) if is_read else served.answer.written
+    _finish_success(board, served, seen, by_term and not is_read)
 
 
 def _finish_success(board, served, seen, confirmed: bool = False) -> None:
--- a/hyssopshelf/statements/entry.py
+++ b/hyssopshelf/statements/entry.py
@@ -16,10 +16,10 @@
 AVOID_SECONDS = 3.0
 """Time for which a host to which a message could not be sent is avoided, in seconds."""
 
-SENT_SECONDS = 1.2
+SEND_OUTCOME_SECONDS = 1.2
 """Time after which a message was sent or was reported as not sent, in seconds."""
 
-TRIAL_SECONDS = 0.25
+PARKED_RETRY_SECONDS = 0.25
 """Interval at which one parked statement of a database is retried, in seconds.
 
 The other parked statements are retried when a statement of the database succeeds
@@ -62,7 +62,7 @@
 
 
 @base.handle.register
-def handle_caller_gone(event: base.CallerGone, board, now) -> None:
+def handle_caller_disconnected(event: base.CallerDisconnected, board, now) -> None:
     """Cancel the statements of a caller whose connection closed."""
     for request in list(board.requests.values()):
         if request.caller != event.caller:
@@ -107,19 +107,21 @@
         )
         return
     del board.requests[message.request_id]
-    answers.learn(board, request, message)
+    answers.update_board(board, request, message)
     if message.behind:
         request.primary_only = True
         _reroute(board, request, message, now)
-    elif message.error is exceptions.ErrorKind.NOT_RUN and _may_move(request):
+    elif message.error is exceptions.ErrorKind.NOT_RUN and _may_run_elsewhere(request):
         park(board, request, message.message, now, term=message.term)
-    elif message.error is exceptions.ErrorKind.UNAVAILABLE and _may_move(request):
+    elif message.error is exceptions.ErrorKind.UNAVAILABLE and _may_run_elsewhere(
+        request
+    ):
         park(board, request, message.message, now)
     elif answers.is_too_old(request, message, now):
         request.primary_only = True
         _reroute(board, request, message, now)
     elif answers.needs_confirmation(request, message, now):
-        answers.file_ticket(board, request, message, now)
+        answers.request_confirmation(board, request, message, now)
     else:
         answers.reply(board, request, message)
 
@@ -135,11 +137,11 @@
         database = board.databases[
             f"{request.statement.pool}/{request.statement.database}"
         ]
-        held = now < database.held_until
+        writes_held = now < database.held_until
         reason = "no endpoint or serving node is known"
-        if held:
+        if writes_held:
             reason = "new writes wait for a planned change of primary"
-        park(board, request, reason, now, term=database.term if held else 0)
+        park(board, request, reason, now, term=database.term if writes_held else 0)
         return
     route, host = target
     request.parked = False
@@ -191,8 +193,8 @@
             _step_parked(board, request, now)
         elif now >= request.deadline + GRACE_SECONDS:
             del board.requests[request.id]
-            answers.reply_lost(board, request, "no answer before the deadline")
-        elif _is_lost(board, request, now):
+            answers.reply_unknown(board, request, "no answer before the deadline")
+        elif _is_host_dead(board, request, now):
             del board.requests[request.id]
             _finish_dead_host(board, request, now)
 
@@ -273,7 +275,7 @@
     board.act(base.SendPeer(host=request.host, message=message))
 
 
-def _may_move(request) -> bool:
+def _may_run_elsewhere(request) -> bool:
     """Return whether a statement that did not run may run at another endpoint."""
     return not request.statement.transaction
 
@@ -303,30 +305,30 @@
     database = board.databases.get(f"{statement.pool}/{statement.database}")
     if database is None:
         return
-    learned = request.parked_term and database.term > request.parked_term
-    due = now >= database.trial_at
-    if learned or database.served_at > request.parked_at or due:
+    has_new_term = request.parked_term and database.term > request.parked_term
+    due = now >= database.parked_retry_at
+    if has_new_term or database.served_at > request.parked_at or due:
         if due:
-            database.trial_at = now + TRIAL_SECONDS
+            database.parked_retry_at = now + PARKED_RETRY_SECONDS
         del board.requests[request.id]
         dispatch(board, request, now)
 
 
-def _is_lost(board, request, now: float) -> bool:
+def _is_host_dead(board, request, now: float) -> bool:
     """Return whether the serving host is dead and the statement may have been sent.
 
-    Before ``SENT_SECONDS`` have passed, the statement may still be reported as not
-    sent and can then be routed again.
+    Before ``SEND_OUTCOME_SECONDS`` have passed, the statement may still be reported
+    as not sent and can then be routed again.
     """
     record = board.hosts.get(request.host)
     if record is None or record.state is not blackboard.HostState.DEAD:
         return False
-    return now >= request.sent_at + SENT_SECONDS
+    return now >= request.sent_at + SEND_OUTCOME_SECONDS
 
 
 def _finish_dead_host(board, request, now: float) -> None:
-    reading = request.statement.operation is messages.Operation.GET
-    if reading and _may_move(request) and board.retry_budget.try_withdraw(now):
+    is_read = request.statement.operation is messages.Operation.GET
+    if is_read and _may_run_elsewhere(request) and board.retry_budget.try_withdraw(now):
         park(board, request, "the serving host is dead", now)
         return
-    answers.reply_lost(board, request, "the serving host is dead")
+    answers.reply_unknown(board, request, "the serving host is dead")
--- a/hyssopshelf/statements/replay.py
+++ b/hyssopshelf/statements/replay.py
@@ -12,7 +12,7 @@
     expired; a duplicated message must not run a statement again.
     """
     sender, _, number = request_id.rpartition(".")
-    record = board.sender(sender)
+    record = board.get_sender(sender)
     counter = int(number)
     if counter <= record.floor or counter in record.received:
         return False
--- a/hyssopshelf/statements/serving.py
+++ b/hyssopshelf/statements/serving.py
@@ -45,7 +45,7 @@
     deadline = now + message.remaining_seconds - board.pause_seconds
     served = _make_request(board, message, host, deadline, now)
     if served is None:
-        _answer_unserved(board, message, host)
+        _answer_unavailable(board, message, host)
         return
     board.served[served.id] = served
     if deadline <= now:
@@ -118,8 +118,8 @@
     )
 
 
-def _answer_unserved(board, message, host) -> None:
-    reading = message.statement.operation is messages.Operation.GET
+def _answer_unavailable(board, message, host) -> None:
+    is_read = message.statement.operation is messages.Operation.GET
     database = board.databases.get(
         f"{message.statement.pool}/{message.statement.database}"
     )
@@ -128,7 +128,7 @@
         error=exceptions.ErrorKind.UNAVAILABLE,
         message="endpoint takes no new work at this node",
         endpoint=message.endpoint,
-        behind=reading,
+        behind=is_read,
         primary=database.primary if database else "",
         term=database.term if database else 0,
     )
@@ -174,7 +174,7 @@
     if served.statement.operation is messages.Operation.GET:
         verdict = _check_known_state(board, served, now)
         if verdict is reads.Verdict.BEHIND:
-            _wait(board, served, now)
+            _wait_for_replica(board, served, now)
             return
     _enqueue(board, served, now)
 
@@ -219,7 +219,7 @@
     )
 
 
-def _wait(board, served, now) -> None:
+def _wait_for_replica(board, served, now) -> None:
     """Delay a read until the replica satisfies it, at most ``WAIT_SECONDS``."""
     served.state = blackboard.ServedState.WAITING
     served.wait_deadline = min(now + WAIT_SECONDS, served.deadline)
@@ -251,10 +251,10 @@
                 reason="shed in favor of other work", retry_after_seconds=1.0
             )
             completion.finish_refused(board, other, refusal)
-    pump(board, served.endpoint, now)
+    start_queued(board, served.endpoint, now)
 
 
-def pump(board, endpoint: str, now: float) -> None:
+def start_queued(board, endpoint: str, now: float) -> None:
     """Start queued statements while the endpoint has free slots and connections.
 
     If there is no idle connection, more are opened, and the statement goes back to
@@ -280,9 +280,9 @@
 
 def _start(board, served, now) -> None:
     statement = served.statement
-    writing = statement.operation is not messages.Operation.GET
+    sends_term = statement.operation is not messages.Operation.GET
     database = board.databases.get(f"{statement.pool}/{statement.database}")
-    term = database.term if database is not None and writing else 0
+    term = database.term if database is not None and sends_term else 0
     if statement.transaction:
         term = board.transactions[statement.transaction].term
     queued = served.state is blackboard.ServedState.QUEUED
@@ -308,7 +308,7 @@
 def settle(board, now: float) -> None:
     """Start queued statements where a slot or a connection became free."""
     while board.ready_endpoints:
-        pump(board, board.ready_endpoints.pop(), now)
+        start_queued(board, board.ready_endpoints.pop(), now)
 
 
 def step(board, now: float) -> None:
@@ -363,20 +363,20 @@
         return
     if _is_leaving(endpoint, now):
         board.endpoint_queues[served.endpoint].discard(served.id)
-        _give_back(board, served, "the endpoint is leaving")
+        _return_to_entry(board, served, "the endpoint is leaving")
         return
     elsewhere = database.primary and database.primary != served.endpoint
     if not elsewhere:
         return
     if _needs_primary(served):
         board.endpoint_queues[served.endpoint].discard(served.id)
-        _give_back(board, served, "another endpoint became the primary")
+        _return_to_entry(board, served, "another endpoint became the primary")
     elif now < endpoint.open_after and not board.endpoint_connections[endpoint.name]:
         board.endpoint_queues[served.endpoint].discard(served.id)
         completion.finish_behind(board, served)
 
 
-def _give_back(board, served, reason: str) -> None:
+def _return_to_entry(board, served, reason: str) -> None:
     """Answer that a statement did not run, so that its entry node routes it again."""
     if _needs_primary(served):
         completion.finish_error(board, served, exceptions.ErrorKind.NOT_RUN, reason)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -292,4 +292,4 @@
     answer = fleet.ask("h1", operation=messages.Operation.GET, seconds=0.0)
     assert answer.error is exceptions.ErrorKind.UNAVAILABLE
     assert not node.is_idle(board, fleet.now)
-    assert node.is_idle(board, fleet.now + node.REPLY_SECONDS)
+    assert node.is_idle(board, fleet.now + node.REPLY_GRACE_SECONDS)
