--- a/hyssopshelf/connections/tests/test_pool.py
+++ b/hyssopshelf/connections/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Tests of the pooled connections of an endpoint."""
+"""Tests of the connection pool of an endpoint."""
 
 import random
 
@@ -40,14 +40,18 @@
 
 
 def test_former_serving_node_gives_up_its_connections(board):
-    """Guards against a serving node that cannot open connections for ever."""
+    """Guards against a node that keeps connections which its successor needs.
+
+    An endpoint accepts only a few connections, so the new serving node could not
+    open its own.
+    """
     board.placement[ENDPOINT] = "h2"
     assert count_closed(board, 0.5 * pool.UNSERVED_IDLE_SECONDS) == 0
     assert count_closed(board, pool.UNSERVED_IDLE_SECONDS) == 3
 
 
 def test_serving_node_keeps_one_connection_a_slot(board):
-    """Guards against a reconnection for each statement after a quiet time."""
+    """Guards against reconnecting for each statement after an idle period."""
     board.placement[ENDPOINT] = "h1"
     assert count_closed(board, pool.UNSERVED_IDLE_SECONDS) == 0
     assert count_closed(board, pool.IDLE_SECONDS) == 1
--- a/tests/test_core_machine.py
+++ b/tests/test_core_machine.py
@@ -1,4 +1,4 @@
-"""A state machine that starts faults at nodes and endpoints in any order."""
+"""Stateful test that injects faults into nodes and endpoints in any order."""
 
 import hypothesis
 from hypothesis import stateful, strategies
@@ -6,14 +6,14 @@
 from benchmarks.faults import plan, world
 
 JOIN_SECONDS = 2.5
-"""Time in which the nodes join and take their first snapshot."""
+"""Time for the nodes to join and to receive their first snapshot, in seconds."""
 
 SETTLE_SECONDS = 8.0
-"""Time under load after the last fault."""
+"""Time under load after the last fault, in seconds."""
 
 
 class CoreMachine(stateful.RuleBasedStateMachine):
-    """Three nodes, two databases and five callers on a virtual clock."""
+    """Run three nodes, two databases and five callers on a virtual clock."""
 
     @stateful.initialize(seed=strategies.integers(min_value=0, max_value=9999))
     def start(self, seed):
@@ -33,7 +33,7 @@
         self.world.loop.run_until(self.world.loop.now + seconds)
 
     def teardown(self):
-        """Guards against a broken guarantee after any sequence of faults."""
+        """Guards against a guarantee that is violated after a sequence of faults."""
         if not hasattr(self, "world"):
             return
         end = self.world.loop.now + plan.OVERRUN_SECONDS + SETTLE_SECONDS
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Tests that the program's own assertions can fail."""
+"""Tests that the invariants checked at run time detect violations."""
 
 from unittest import mock
 
@@ -12,12 +12,12 @@
     "acknowledge_unconfirmed": "without confirmation",
     "deny_after_execute": "may have run",
 }
-"""Broken variants of the core and what the assertion says of each."""
+"""Faulty variants of the core and a part of the error that each must raise."""
 
 
 @pytest.mark.parametrize("name", sorted(BROKEN))
 def test_broken_core_stops_itself(name):
-    """Guards against assertions that hold whatever the core does."""
+    """Guards against invariants that a faulty core does not violate."""
     variant = variants.VARIANTS[name]
     crashes = []
     with mock.patch.object(variant.target, variant.name, variant.replacement):
@@ -30,7 +30,7 @@
 
 
 def test_start_at_an_endpoint_that_left_is_refused():
-    """Guards against work sent to a leaving endpoint after 3 s."""
+    """Guards against statements sent to an endpoint 3 s after it began to leave."""
     endpoint = mock.Mock(leaving_at=10.0)
     invariants.check_start(make_served(), endpoint, True, 12.9)
     with pytest.raises(exceptions.InvariantError):
@@ -38,21 +38,21 @@
 
 
 def test_lower_version_is_refused():
-    """Guards against a configuration that reverts."""
+    """Guards against a configuration that is replaced by an older version."""
     invariants.check_version("p", 3, 3)
     with pytest.raises(exceptions.InvariantError):
         invariants.check_version("p", 3, 2)
 
 
 def test_answer_of_another_request_is_refused():
-    """Guards against an answer that reaches the wrong caller."""
+    """Guards against an answer that is sent to the wrong caller."""
     with pytest.raises(exceptions.InvariantError):
         invariants.check_reply("h1.1.1", "h1.1.2")
 
 
 @attrs.define(kw_only=True)
 class Served:
-    """What the check of a start needs of a statement."""
+    """Statement with the attributes that ``check_start`` reads."""
 
     id: str = "h1.1.1"
     endpoint: str = "p/d/a"
@@ -60,7 +60,7 @@
 
 
 def make_served() -> Served:
-    """Return an append outside a transaction."""
+    """Return a served append outside a transaction."""
     statement = messages.Statement(
         id="r1",
         pool="p",
@@ -73,7 +73,7 @@
 
 
 def test_second_start_is_refused():
-    """Guards against a statement that runs twice."""
+    """Guards against a statement that is sent to its endpoint twice."""
     served = make_served()
     invariants.check_start(served, None, True, 0.0)
     with pytest.raises(exceptions.InvariantError):
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -25,17 +25,17 @@
 
 
 def test_envelope_survives_the_wire():
-    """Guards against fields lost or retyped between two nodes."""
+    """Guards against fields that are lost or change type between two nodes."""
     assert messages.decode(messages.encode(ENVELOPE)) == ENVELOPE
 
 
 @pytest.mark.parametrize("kept", [0, 1, 10, -1])
 def test_truncated_message_is_refused(kept):
-    """Guards against a cut message taken for a whole one."""
+    """Guards against decoding a truncated message as a complete one."""
     with pytest.raises(exceptions.CodecError):
         messages.decode(messages.encode(ENVELOPE)[:kept])
 
 
 def test_every_error_kind_has_a_disposition():
-    """Guards against an error kind that has no answer."""
+    """Guards against an error kind without an entry in the table of dispositions."""
     assert set(exceptions.DISPOSITIONS) == set(exceptions.ErrorKind)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Tests of a statement's path through two nodes and one database group."""
+"""Tests of statements that pass through two nodes to one database group."""
 
 import heapq
 import itertools
@@ -16,7 +16,7 @@
 
 
 def make_document() -> resources.Document:
-    """Return a pool with one database of three endpoints and one partner."""
+    """Return the document of a pool with three endpoints and one partner."""
     endpoints = tuple(
         resources.EndpointSpec(name=name, address="127.0.0.1:1", place=place)
         for name, place in zip("abc", PLACES, strict=True)
@@ -51,7 +51,7 @@
 
 @attrs.define(slots=False)
 class Fleet:
-    """Two nodes and three endpoints on a virtual clock with fixed delays."""
+    """Simulate two nodes and three endpoints on a virtual clock with fixed delays."""
 
     delay: float = 0.001
     now: float = 0.0
@@ -159,7 +159,7 @@
                 self.handle(host, base.Ticked())
 
     def ask(self, host, replicating=True, seconds=1.0, answered=True, **fields):
-        """Send a statement to a node and return its answer."""
+        """Send a statement to a node, run for ``seconds`` and return its answer."""
         caller = f"c{next(self.order)}"
         statement = messages.Statement(
             id=caller,
@@ -181,7 +181,7 @@
 
 
 def test_session_reads_its_write_on_another_node(fleet):
-    """Guards against a session that loses its write when it changes proxies."""
+    """Guards against a session that misses its own write at another proxy."""
     written = fleet.ask("h1", operation=messages.Operation.APPEND, value="x")
     assert written.error is None
     read = fleet.ask("h2", operation=messages.Operation.GET, token=written.token)
@@ -189,7 +189,7 @@
 
 
 def test_majority_write_waits_for_replication(fleet):
-    """Guards against an acknowledgement before a majority holds the write."""
+    """Guards against acknowledging a write that no majority has replicated."""
     answer = fleet.ask(
         "h1", operation=messages.Operation.APPEND, value="x", replicating=False
     )
@@ -197,7 +197,7 @@
 
 
 def test_transaction_spans_nodes_and_commits_once(fleet):
-    """Guards against a transaction that breaks when its caller changes proxies."""
+    """Guards against a transaction that fails when its caller changes proxies."""
     begun = fleet.ask("h1", operation=messages.Operation.BEGIN)
     inside = {"transaction": begun.transaction}
     for value in ("x", "y"):
@@ -210,7 +210,7 @@
 
 @pytest.mark.parametrize("change", ["cut", "flip", "text"])
 def test_damaged_token_is_an_error(fleet, change):
-    """Guards against a stale read behind a token that cannot be trusted."""
+    """Guards against a stale read because a damaged token was ignored."""
     token = fleet.ask("h1", operation=messages.Operation.APPEND, value="x").token
     flipped = ("A" if token[5] != "A" else "B").join((token[:5], token[6:]))
     damaged = {"cut": token[:-4], "flip": flipped, "text": "no token"}
@@ -219,7 +219,7 @@
 
 
 def test_bounded_read_is_served_by_a_replica(fleet):
-    """Guards against sending reads that replicas may serve to the primary."""
+    """Guards against sending every bounded read to the primary."""
     answer = fleet.ask(
         "h2",
         kind="dashboard",
@@ -230,7 +230,7 @@
 
 
 def test_repeated_confirmation_keeps_a_draining_node():
-    """Guards against a stop while an acknowledgement waits to be confirmed again."""
+    """Guards against stopping while a write waits for a repeated confirmation."""
     identity = blackboard.Identity(host="h1", address="h1", place=PLACES[0])
     board = node.Node(identity=identity, seed=1, token_keys=KEYS).board
     assert node.is_idle(board, 100.0)
@@ -239,9 +239,10 @@
 
 
 def test_draining_node_that_ran_late_reads_what_waits(fleet):
-    """Guards against a stop before statements that waited in the sockets are read.
+    """Guards against stopping before statements in socket buffers are read.
 
-    Found by seed 4049 of the fault runs with 60 s and 18 callers.
+    They wait there while the process runs late. Found by seed 4049 of the
+    fault runs with 60 s and 18 callers.
     """
     fleet.handle("h1", base.DrainRequested())
     fleet.run(2.0)
@@ -253,7 +254,7 @@
 
 
 def test_queued_work_does_not_go_to_an_endpoint_that_left(fleet):
-    """Guards against work sent to a leaving endpoint after 3 s.
+    """Guards against queued statements sent to an endpoint 3 s after it began to leave.
 
     Found by seed 4055 of the fault runs with 60 s and 18 callers.
     """
@@ -280,10 +281,11 @@
 
 
 def test_draining_node_waits_until_its_last_answer_has_left(fleet):
-    """Guards against an answer that is lost because its connection closes.
+    """Guards against an answer that is lost because the node stops too early.
 
-    Found by seed 3042 of the fault runs with 60 s and 18 callers: a statement was
-    answered in the same instant in which the draining node stopped.
+    The draining node stopped at the same instant at which it answered a statement,
+    so the connection closed first. Found by seed 3042 of the fault runs with
+    60 s and 18 callers.
     """
     fleet.handle("h1", base.DrainRequested())
     fleet.run(2.0)
