--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -29,11 +29,11 @@
     assert messages.decode(messages.encode(ENVELOPE)) == ENVELOPE
 
 
-@pytest.mark.parametrize("kept", [0, 1, 10, -1])
-def test_truncated_message_is_refused(kept):
+@pytest.mark.parametrize("end", [0, 1, 10, -1])
+def test_truncated_message_is_refused(end):
     """Guards against decoding a truncated message as a complete one."""
     with pytest.raises(exceptions.CodecError):
-        messages.decode(messages.encode(ENVELOPE)[:kept])
+        messages.decode(messages.encode(ENVELOPE)[:end])
 
 
 def test_every_error_kind_has_a_disposition():
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -57,7 +57,7 @@
     now: float = 0.0
 
     def __attrs_post_init__(self):
-        self.order = itertools.count()
+        self.event_sequence = itertools.count()
         self.queue = []
         self.answers = {}
         self.connections = {}
@@ -82,9 +82,9 @@
             application.apply_document(member.board, make_document(), 0.0)
             member.board.configuration_ready = True
 
-    def later(self, call, delay=None):
+    def schedule(self, call, delay=None):
         at = self.now + (self.delay if delay is None else delay)
-        heapq.heappush(self.queue, (at, next(self.order), call))
+        heapq.heappush(self.queue, (at, next(self.event_sequence), call))
 
     def handle(self, host, event):
         for action in self.nodes[host].handle(event, self.now):
@@ -95,13 +95,15 @@
             case base.Reply():
                 self.answers[action.caller] = action.answer
             case base.SendPeer():
-                data = messages.Envelope(host=host, address="", message=action.message)
-                wire = messages.encode(data)
-                self.later(
+                envelope = messages.Envelope(
+                    host=host, address="", message=action.message
+                )
+                encoded = messages.encode(envelope)
+                self.schedule(
                     lambda: self.handle(
                         action.host,
                         base.PeerReceived(
-                            host=host, message=messages.decode(wire).message
+                            host=host, message=messages.decode(encoded).message
                         ),
                     )
                 )
@@ -117,7 +119,7 @@
                         connection=action.connection, refused=True, reason="full"
                     )
                 )
-                self.later(lambda: self.handle(host, event))
+                self.schedule(lambda: self.handle(host, event))
             case base.CloseConnection():
                 self.connections[action.connection].close_connection(action.connection)
             case base.Execute():
@@ -128,13 +130,13 @@
                     request_id=action.request_id,
                     answer=answer,
                 )
-                self.later(lambda: self.handle(host, event))
+                self.schedule(lambda: self.handle(host, event))
             case base.ProbeStatus():
                 status = self.instances[action.endpoint].report_status(self.now)
                 event = base.StatusReceived(
                     endpoint=action.endpoint, probe_id=action.probe_id, status=status
                 )
-                self.later(lambda: self.handle(host, event))
+                self.schedule(lambda: self.handle(host, event))
 
     def replicate(self):
         for instance in self.instances.values():
@@ -158,9 +160,11 @@
             for host in self.nodes:
                 self.handle(host, base.Ticked())
 
-    def ask(self, host, replicating=True, seconds=1.0, answered=True, **fields):
+    def send_statement(
+        self, host, replicating=True, seconds=1.0, answered=True, **fields
+    ):
         """Send a statement to a node, run for ``seconds`` and return its answer."""
-        caller = f"c{next(self.order)}"
+        caller = f"c{next(self.event_sequence)}"
         statement = messages.Statement(
             id=caller,
             pool=POOL,
@@ -182,15 +186,19 @@
 
 def test_session_reads_its_write_on_another_node(fleet):
     """Guards against a session that misses its own write at another proxy."""
-    written = fleet.ask("h1", operation=messages.Operation.APPEND, value="x")
-    assert written.error is None
-    read = fleet.ask("h2", operation=messages.Operation.GET, token=written.token)
-    assert (read.error, read.value) == (None, "x")
+    write_answer = fleet.send_statement(
+        "h1", operation=messages.Operation.APPEND, value="x"
+    )
+    assert write_answer.error is None
+    read_answer = fleet.send_statement(
+        "h2", operation=messages.Operation.GET, token=write_answer.token
+    )
+    assert (read_answer.error, read_answer.value) == (None, "x")
 
 
 def test_majority_write_waits_for_replication(fleet):
     """Guards against acknowledging a write that no majority has replicated."""
-    answer = fleet.ask(
+    answer = fleet.send_statement(
         "h1", operation=messages.Operation.APPEND, value="x", replicating=False
     )
     assert answer.error is exceptions.ErrorKind.OUTCOME_UNKNOWN
@@ -198,29 +206,39 @@
 
 def test_transaction_spans_nodes_and_commits_once(fleet):
     """Guards against a transaction that fails when its caller changes proxies."""
-    begun = fleet.ask("h1", operation=messages.Operation.BEGIN)
-    inside = {"transaction": begun.transaction}
+    begin_answer = fleet.send_statement("h1", operation=messages.Operation.BEGIN)
+    transaction_fields = {"transaction": begin_answer.transaction}
     for value in ("x", "y"):
-        fleet.ask("h2", operation=messages.Operation.APPEND, value=value, **inside)
-    ended = fleet.ask("h1", operation=messages.Operation.COMMIT, **inside)
-    assert ended.error is None
-    read = fleet.ask("h2", operation=messages.Operation.GET, token=ended.token)
-    assert read.value == "x,y"
+        fleet.send_statement(
+            "h2", operation=messages.Operation.APPEND, value=value, **transaction_fields
+        )
+    commit_answer = fleet.send_statement(
+        "h1", operation=messages.Operation.COMMIT, **transaction_fields
+    )
+    assert commit_answer.error is None
+    read_answer = fleet.send_statement(
+        "h2", operation=messages.Operation.GET, token=commit_answer.token
+    )
+    assert read_answer.value == "x,y"
 
 
 @pytest.mark.parametrize("change", ["cut", "flip", "text"])
 def test_damaged_token_is_an_error(fleet, change):
     """Guards against a stale read because a damaged token was ignored."""
-    token = fleet.ask("h1", operation=messages.Operation.APPEND, value="x").token
+    token = fleet.send_statement(
+        "h1", operation=messages.Operation.APPEND, value="x"
+    ).token
     flipped = ("A" if token[5] != "A" else "B").join((token[:5], token[6:]))
     damaged = {"cut": token[:-4], "flip": flipped, "text": "no token"}
-    answer = fleet.ask("h2", operation=messages.Operation.GET, token=damaged[change])
+    answer = fleet.send_statement(
+        "h2", operation=messages.Operation.GET, token=damaged[change]
+    )
     assert answer.error is exceptions.ErrorKind.BAD_TOKEN
 
 
 def test_bounded_read_is_served_by_a_replica(fleet):
     """Guards against sending every bounded read to the primary."""
-    answer = fleet.ask(
+    answer = fleet.send_statement(
         "h2",
         kind="dashboard",
         operation=messages.Operation.GET,
@@ -261,7 +279,7 @@
     for member in fleet.nodes.values():
         view = attrs.evolve(member.board.pools[POOL], slots=0)
         member.board.pools[POOL] = view
-    started = fleet.ask(
+    answer = fleet.send_statement(
         "h1",
         operation=messages.Operation.GET,
         consistency=messages.Consistency.STRONG,
@@ -269,7 +287,7 @@
         seconds=0.0,
         answered=False,
     )
-    assert started is None
+    assert answer is None
     fleet.run(0.5)
     queues = [q for m in fleet.nodes.values() for q in m.board.endpoint_queues.values()]
     waiting = [queue for queue in queues if queue.waiting]
@@ -291,7 +309,7 @@
     fleet.run(2.0)
     board = fleet.nodes["h1"].board
     assert node.is_idle(board, fleet.now)
-    answer = fleet.ask("h1", operation=messages.Operation.GET, seconds=0.0)
+    answer = fleet.send_statement("h1", operation=messages.Operation.GET, seconds=0.0)
     assert answer.error is exceptions.ErrorKind.UNAVAILABLE
     assert not node.is_idle(board, fleet.now)
     assert node.is_idle(board, fleet.now + node.REPLY_GRACE_SECONDS)
