--- a/hyssopshelf/blackboard.py
+++ b/hyssopshelf/blackboard.py
@@ -15,7 +15,7 @@
 from hyssopshelf.failover import confirmation, tickets
 from hyssopshelf.failover import state as failover_state
 from hyssopshelf.membership import balancing
-from hyssopshelf.membership import placement as placing
+from hyssopshelf.membership import placement as membership_placement
 from hyssopshelf.membership import protocol as membership_protocol
 from hyssopshelf.membership import records as host_records
 from hyssopshelf.scheduling import billing, budgets, limits, queues, shares, work
@@ -283,7 +283,9 @@
     )
     placement: dict[str, str] = attrs.field(factory=dict)
     balance: balancing.Balance = attrs.field(factory=balancing.Balance)
-    placement_state: placing.Placement = attrs.field(factory=placing.Placement)
+    placement_state: membership_placement.Placement = attrs.field(
+        factory=membership_placement.Placement
+    )
     endpoint_queues: dict[str, queues.EndpointQueue] = attrs.field(factory=dict)
     connections: dict[str, records.ConnectionRecord] = attrs.field(factory=dict)
     endpoint_connections: dict[str, dict[str, records.ConnectionRecord]] = attrs.field(
--- a/hyssopshelf/invariants.py
+++ b/hyssopshelf/invariants.py
@@ -58,20 +58,25 @@
         Whether it reached the confirmation by a majority.
     """
     statement, answer = served.statement, served.answer
-    refused = answer is not None and answer.error is not None
-    commits = statement.operation is messages.Operation.COMMIT or (
+    rejected_by_endpoint = answer is not None and answer.error is not None
+    commits_write = statement.operation is messages.Operation.COMMIT or (
         statement.operation in (messages.Operation.PUT, messages.Operation.APPEND)
         and not statement.transaction
     )
     if error is not None:
-        denied = exceptions.DISPOSITIONS[error].ran is exceptions.Ran.NO
+        reported_not_run = exceptions.DISPOSITIONS[error].ran is exceptions.Ran.NO
         require(
-            not (denied and commits and executing and not refused),
+            not (
+                reported_not_run
+                and commits_write
+                and executing
+                and not rejected_by_endpoint
+            ),
             f"write {served.id} may have run and is answered {error.value}",
         )
         return
     require(
-        not commits or confirming,
+        not commits_write or confirming,
         f"write {served.id} is acknowledged without confirmation",
     )
     if statement.operation is messages.Operation.GET and not statement.transaction:
--- a/hyssopshelf/statements/answers.py
+++ b/hyssopshelf/statements/answers.py
@@ -125,8 +125,8 @@
     token = statement.token
     if message.error is None and message.seen is not None:
         database = f"{statement.pool}/{statement.database}"
-        known = tokens.merge(request.token_positions, database, message.seen)
-        token = tokens.sign(known, board.token_keys)
+        merged_positions = tokens.merge(request.token_positions, database, message.seen)
+        token = tokens.sign(merged_positions, board.token_keys)
     answer = messages.Answer(
         id=statement.id,
         error=message.error,
@@ -138,7 +138,7 @@
         endpoint=message.endpoint,
         from_replica=message.from_replica,
     )
-    _send(board, request, answer)
+    _finish(board, request, answer)
 
 
 def reply_unknown(board, request, message: str) -> None:
@@ -168,7 +168,7 @@
         token=request.statement.token,
         transaction=request.statement.transaction,
     )
-    _send(board, request, answer)
+    _finish(board, request, answer)
 
 
 def reply_error(board, caller: str, statement_id: str, problem) -> None:
@@ -188,7 +188,7 @@
         limits.release(board, statement.pool, statement.partner, request.rank, now)
 
 
-def _send(board, request, answer: messages.Answer) -> None:
+def _finish(board, request, answer: messages.Answer) -> None:
     release(board, request, board.now)
     _count(board, request, answer)
     board.log(
--- a/hyssopshelf/statements/entry.py
+++ b/hyssopshelf/statements/entry.py
@@ -162,7 +162,7 @@
         rank=request.rank,
         reason=route.reason,
     )
-    _send(board, request, now)
+    _forward(board, request, now)
 
 
 def park(board, request, reason: str, now: float, term: int = 0) -> None:
@@ -258,7 +258,7 @@
     return successor
 
 
-def _send(board, request, now: float) -> None:
+def _forward(board, request, now: float) -> None:
     statement = request.statement
     database = board.databases[f"{statement.pool}/{statement.database}"]
     message = messages.ForwardStatement(
--- a/hyssopshelf/statements/serving.py
+++ b/hyssopshelf/statements/serving.py
@@ -20,7 +20,7 @@
 
 DRAIN_GRACE_SECONDS = 1.0
 """Time for which a draining node still accepts forwarded statements, in seconds.
-Meanwhile its peers learn that it leaves; later statements are answered as not run."""
+Meanwhile its peers learn that it leaves; later it answers statements as unavailable."""
 
 KNOWN_ROLE_SECONDS = 0.5
 """Longest age of a status at which the reported role is relied on, in seconds."""
@@ -365,8 +365,8 @@
         board.endpoint_queues[served.endpoint].discard(served.id)
         _return_to_entry(board, served, "the endpoint is leaving")
         return
-    elsewhere = database.primary and database.primary != served.endpoint
-    if not elsewhere:
+    primary_elsewhere = database.primary and database.primary != served.endpoint
+    if not primary_elsewhere:
         return
     if _needs_primary(served):
         board.endpoint_queues[served.endpoint].discard(served.id)
