--- a/hyssopshelf/statements/answers.py
+++ b/hyssopshelf/statements/answers.py
@@ -115,7 +115,7 @@
         elif confirmed and not is_overdue:
             request_confirmation(board, request, request.answer, now)
         else:
-            reply_unknown(board, request, "the primary was replaced")
+            reply_unknown(board, request, "the write could not be confirmed again")
 
 
 def reply(board, request, message: messages.ServedAnswer) -> None:
