--- a/benchmarks/faults/variants.py
+++ b/benchmarks/faults/variants.py
@@ -97,7 +97,7 @@
 )
 
 
-@add_variant(answers, "reply_lost", "ran_twice")
+@add_variant(answers, "reply_unknown", "ran_twice")
 def repeat_unknown_write(board, request, message):
     """Send a statement again whose outcome is unknown."""
     request.deadline = board.now + 3.0
@@ -143,7 +143,7 @@
 )
 def share_connection_of_transaction(board, endpoint, work_id):
     """Let other work use a connection between a transaction's statements."""
-    for record in pool.find_connections(board, endpoint):
+    for record in pool.list_connections(board, endpoint):
         held = record.state is records.ConnectionState.IN_TRANSACTION
         if held and not record.work_id:
             record.work_id = work_id
--- a/hyssopshelf/demo.py
+++ b/hyssopshelf/demo.py
@@ -1,6 +1,6 @@
-"""The whole path in one process: stand-in platform, database group, two proxies.
+"""Run a platform stand-in, a database group and two proxies in one process.
 
-Run it with ``make demo``. All servers listen on 127.0.0.1.
+Start it with ``make demo``. All servers listen on 127.0.0.1.
 """
 
 import asyncio
@@ -70,23 +70,28 @@
 
 
 async def start_endpoints() -> dict[str, endpoint.EndpointServer]:
-    """Start three instances; none is primary until the proxies promote one."""
+    """Start three database instances; the proxies promote one of them to primary."""
     servers = {}
     for name in "abc":
         full_name = f"{POOL}/{DATABASE}/{name}"
         servers[full_name] = endpoint.EndpointServer(
             instance=database.Instance(name=full_name)
         )
-    for started in servers.values():
-        started.start()
-    addresses = {name: started.address for name, started in servers.items()}
-    for started in servers.values():
-        started.peers.update(addresses)
+    for endpoint_server in servers.values():
+        endpoint_server.start()
+    addresses = {
+        name: endpoint_server.address for name, endpoint_server in servers.items()
+    }
+    for endpoint_server in servers.values():
+        endpoint_server.peers.update(addresses)
     return servers
 
 
 def find_free_addresses(count: int) -> list[str]:
-    """Return loopback addresses whose ports were free a moment ago."""
+    """Return loopback addresses with free ports.
+
+    The ports are closed again, so another process may take them.
+    """
     sockets = [tornado.netutil.bind_sockets(0, "127.0.0.1")[0] for _ in range(count)]
     addresses = [f"127.0.0.1:{socket.getsockname()[1]}" for socket in sockets]
     for socket in sockets:
@@ -96,13 +101,13 @@
 
 def start_platform() -> tuple[store.StoreServer, hostlist.HostListServer, dict]:
     """Start the key-value store and the host list; return them with their URLs."""
-    keeper = store.StoreServer(store=keyvalue.KeyValueStore())
-    listing = hostlist.HostListServer(hosts=hostlist.HostList())
+    store_server = store.StoreServer(store=keyvalue.KeyValueStore())
+    host_list_server = hostlist.HostListServer(hosts=hostlist.HostList())
     urls = {
-        "store": f"http://127.0.0.1:{keeper.start()}",
-        "hosts": f"http://127.0.0.1:{listing.start()}",
+        "store": f"http://127.0.0.1:{store_server.start()}",
+        "hosts": f"http://127.0.0.1:{host_list_server.start()}",
     }
-    return keeper, listing, urls
+    return store_server, host_list_server, urls
 
 
 def start_proxies(urls: dict, hosts: hostlist.HostList) -> tuple[dict, dict]:
@@ -149,7 +154,7 @@
 
 
 async def run_session(addresses: dict[str, str]) -> None:
-    """Write an order through one proxy and read it back through the other."""
+    """Write an order through one proxy and read it through the other."""
     session = client.Session(
         proxies=tuple(addresses.values()),
         pool=POOL,
@@ -175,11 +180,11 @@
 
 
 async def run() -> None:
-    """Run the demo."""
+    """Start all servers, run the session and stop the servers."""
     logs.configure(form="text", level="INFO")
-    keeper, listing, urls = start_platform()
+    store_server, host_list_server, urls = start_platform()
     endpoints = await start_endpoints()
-    proxies, addresses = start_proxies(urls, listing.hosts)
+    proxies, addresses = start_proxies(urls, host_list_server.hosts)
     print(f"platform: store at {urls['store']}, host list at {urls['hosts']}")
     print(f"endpoints: {', '.join(endpoints)}")
     print(f"proxies: {', '.join(f'{h} at {a}' for h, a in addresses.items())}")
@@ -188,8 +193,8 @@
     await run_session(addresses)
     for engine in proxies.values():
         engine.stop()
-    for started in (*endpoints.values(), keeper, listing):
-        await started.stop()
+    for stand_in in (*endpoints.values(), store_server, host_list_server):
+        await stand_in.stop()
 
 
 def main() -> None:
--- a/hyssopshelf/statements/checks.py
+++ b/hyssopshelf/statements/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a caller's statement before it is routed."""
+"""Validation of a caller's statement before it is routed."""
 
 import attrs
 
@@ -6,22 +6,25 @@
 from hyssopshelf.statements import transactions
 
 MAXIMUM_DEADLINE_SECONDS = 60.0
-"""Longest time a caller may give a statement, in seconds."""
+"""Longest deadline that a caller may set for a statement, in seconds."""
 
 MAXIMUM_VALUE_CHARACTERS = 256 * 1024
-"""Longest value of a write."""
+"""Longest value of a write, in characters."""
 
 
 @attrs.frozen(kw_only=True)
 class Problem:
-    """Why a statement is refused before it is routed."""
+    """Reason for which a statement is rejected before it is routed."""
 
     kind: exceptions.ErrorKind
     message: str
 
 
 def check_statement(board, statement: messages.Statement) -> Problem | None:
-    """Return the first problem of a statement, None if there is none."""
+    """Validate a statement and return the first problem found, or None.
+
+    A draining node accepts only statements of open transactions.
+    """
     if board.draining and not statement.transaction:
         return Problem(
             kind=exceptions.ErrorKind.UNAVAILABLE, message="this node is draining"
@@ -48,10 +51,10 @@
 
 def _check_fields(statement: messages.Statement) -> Problem | None:
     operation = statement.operation
-    writing = operation in (messages.Operation.PUT, messages.Operation.APPEND)
-    if (writing or operation is messages.Operation.GET) and not statement.key:
+    is_write = operation in (messages.Operation.PUT, messages.Operation.APPEND)
+    if (is_write or operation is messages.Operation.GET) and not statement.key:
         return _bad_request("key must not be empty")
-    if writing and statement.value is None:
+    if is_write and statement.value is None:
         return _bad_request(f"{operation.value} needs a value")
     if statement.value and len(statement.value) > MAXIMUM_VALUE_CHARACTERS:
         return _bad_request(
@@ -61,8 +64,11 @@
         return _bad_request(
             f"remaining_seconds must be in (0, {MAXIMUM_DEADLINE_SECONDS:g}]"
         )
-    ends = operation in (messages.Operation.COMMIT, messages.Operation.ROLLBACK)
-    if ends and not statement.transaction:
+    ends_transaction = operation in (
+        messages.Operation.COMMIT,
+        messages.Operation.ROLLBACK,
+    )
+    if ends_transaction and not statement.transaction:
         return _bad_request(f"{operation.value} needs a transaction")
     if operation is messages.Operation.BEGIN and statement.transaction:
         return _bad_request("a transaction is already open")
