--- a/hyssopshelf/runtime/daemon.py
+++ b/hyssopshelf/runtime/daemon.py
@@ -1,4 +1,4 @@
-"""The node's program: ``hyssopshelf-proxy``."""
+"""Entry point of a node, ``hyssopshelf-proxy``: start, drain and exit status."""
 
 import asyncio
 import os
@@ -13,20 +13,20 @@
 from hyssopshelf.runtime import hostlist, resources, server, settings, store
 
 EXIT_SETTINGS = 2
-"""Exit status for a setting that is not allowed."""
+"""Exit status for an invalid setting."""
 
 EXIT_DRAIN = 3
-"""Exit status when the drain deadline passed with statements left."""
+"""Exit status when statements or transactions were left at the drain deadline."""
 
 EXIT_INVARIANT = 4
-"""Exit status when an assertion of a guarantee failed."""
+"""Exit status after a violated invariant."""
 
 DRAIN_CHECK_SECONDS = 0.05
-"""Time between two looks at what is left during a drain, in seconds."""
+"""Interval between checks for a stop request and for a finished drain, in seconds."""
 
 
 def main() -> None:
-    """Run a node until it is asked to stop."""
+    """Run the node with the settings of the command line and environment."""
     try:
         values = settings.load_settings(sys.argv[1:], dict(os.environ))
     except exceptions.SettingError as error:
@@ -40,7 +40,7 @@
 
 
 def make_engine(values: settings.Settings) -> engines.Engine:
-    """Return the engine for the settings."""
+    """Return an engine with a new node; nothing is started yet."""
     identity = blackboard.Identity(
         host=values.host,
         address=values.peer_listen,
@@ -70,7 +70,11 @@
 
 
 async def run_node(values: settings.Settings) -> int:
-    """Serve until SIGTERM or SIGINT, then drain; return the exit status."""
+    """Run a node, drain it when it has to stop and return the exit status.
+
+    A node stops on SIGTERM, on SIGINT, on an operator's drain request or after a
+    violated invariant.
+    """
     engine = make_engine(values)
     application = server.make_application(
         engine, tuple(resources.make_handlers(engine.submit))
@@ -95,7 +99,20 @@
 
 
 async def drain(engine: engines.Engine, deadline: float) -> bool:
-    """Let statements and transactions end; return whether all did."""
+    """Wait for running statements and transactions.
+
+    Parameters
+    ----------
+    engine : Engine
+        The running engine; its node is told to drain.
+    deadline : float
+        Time of the event loop, in seconds, at which the wait ends.
+
+    Returns
+    -------
+    bool
+        Whether all statements and transactions ended before the deadline.
+    """
     engine.emit(base.DrainRequested())
     board = engine.core.board
     while not node.is_idle(board, time.monotonic()):
--- a/hyssopshelf/runtime/endpoints.py
+++ b/hyssopshelf/runtime/endpoints.py
@@ -1,6 +1,6 @@
-"""Adapter of the database group's interface.
+"""Client of the endpoints' websocket interface: connections, probes and control.
 
-Only this module and ``wire`` know how an endpoint is reached.
+The protocol of the endpoints is confined to this module and ``wire``.
 """
 
 import asyncio
@@ -15,20 +15,20 @@
 from hyssopshelf.runtime import wire
 
 CONNECT_TIMEOUT_SECONDS = 2.0
-"""Longest time to open a connection, in seconds."""
+"""Timeout for opening a connection, in seconds."""
 
 CONTROL_TIMEOUT_SECONDS = 4.0
-"""Time after which a control call counts as unanswered, in seconds. It is longer
-than the 2 s of failure detection, because a slow answer is an answer."""
+"""Timeout of a control call, in seconds. It is longer than the 2 s of failure
+detection, because a late answer still shows that the endpoint is alive."""
 
 
 class EndpointAdapter:
-    """Opens connections to endpoints and carries requests and control calls.
+    """Opens connections to endpoints and sends requests and control calls.
 
     Parameters
     ----------
     emit : callable
-        Takes the events that the adapter observes.
+        Called with each event of the adapter.
     find_address : callable
         Returns the ``IP:port`` of an endpoint by its full name, None if unknown.
     """
@@ -41,11 +41,14 @@
         self._tasks: set[asyncio.Task] = set()
 
     def open(self, endpoint: str, connection: str) -> None:
-        """Start to open a connection."""
+        """Start opening a connection; ConnectionOpened or ConnectionFailed follows."""
         self._spawn(self._run_connection(endpoint, connection))
 
     def execute(self, connection: str, request_id: str, request) -> None:
-        """Send a request on an open connection."""
+        """Send a request on an open connection.
+
+        ConnectionClosed is emitted instead of an answer if the connection is closed.
+        """
         socket = self._connections.get(connection)
         frame = wire.RequestFrame(id=request_id, request=request)
         if socket is None:
@@ -56,25 +59,25 @@
         except tornado.websocket.WebSocketClosedError:
             self._defer(base.ConnectionClosed(connection=connection))
             return
-        # A failed write also ends the read loop, which reports the closure.
+        # A failed write also ends the read loop, which emits ConnectionClosed.
         future.add_done_callback(lambda done: done.exception())
 
     def close_connection(self, connection: str) -> None:
-        """Close a connection."""
+        """Close a connection without an event."""
         socket = self._connections.pop(connection, None)
         if socket is not None:
             socket.close()
 
     def probe(self, endpoint: str, probe_id: str) -> None:
-        """Ask for an endpoint's status; always ends with one event."""
+        """Request an endpoint's status; emits exactly one StatusReceived."""
         self._spawn(self._probe(endpoint, probe_id))
 
     def call_control(self, endpoint: str, call_id: str, operation) -> None:
-        """Send a control operation; always ends with one event."""
+        """Send a control operation; emits exactly one ControlAnswered."""
         self._spawn(self._call_control(endpoint, call_id, operation))
 
     def close(self) -> None:
-        """Close all connections and channels."""
+        """Cancel running calls and close all connections and control channels."""
         for task in list(self._tasks):
             task.cancel()
         for socket in list(self._connections.values()):
@@ -112,7 +115,7 @@
 
     async def _connect(self, endpoint: str, connection: str):
         address = self.find_address(endpoint)
-        reason = "address is not known"
+        reason = "the address of the endpoint is not known"
         refused = False
         if address is not None:
             try:
@@ -168,7 +171,9 @@
 
 
 class ControlChannel:
-    """A websocket to an endpoint's control interface, opened on demand.
+    """Websocket to an endpoint's control interface, opened by the first call.
+
+    Calls are multiplexed by their ids.
 
     Parameters
     ----------
@@ -184,7 +189,13 @@
         self._reader: asyncio.Task | None = None
 
     async def exchange(self, frame: wire.ControlFrame) -> wire.ControlReply:
-        """Send a call and return its reply."""
+        """Send a control call and return its reply.
+
+        Raises
+        ------
+        ConnectionError
+            If the channel closed before the reply arrived.
+        """
         async with self._lock:
             if self._socket is None:
                 self._socket = await _open_socket(self.address, wire.CONTROL_PATH)
@@ -198,7 +209,7 @@
             self._waiting.pop(frame.id, None)
 
     def close(self) -> None:
-        """Close the channel."""
+        """Cancel the reader and close the websocket."""
         if self._reader is not None:
             self._reader.cancel()
         if self._socket is not None:
@@ -224,7 +235,7 @@
 
 @functools.singledispatch
 def make_frame(operation, call_id: str) -> wire.ControlFrame:
-    """Return the frame of a control operation."""
+    """Return a control operation as a frame with the id of the call."""
     raise NotImplementedError(type(operation).__name__)
 
 
--- a/hyssopshelf/runtime/engine.py
+++ b/hyssopshelf/runtime/engine.py
@@ -1,4 +1,4 @@
-"""Runs a node's core on the tornado loop and carries out its actions."""
+"""Runs a node's core on the tornado event loop and carries out its actions."""
 
 import asyncio
 import functools
@@ -13,16 +13,16 @@
 from hyssopshelf.runtime import endpoints, peers
 
 HOST_LIST_SECONDS = 1.0
-"""Time between two reads of the host list by a reader, in seconds."""
+"""Interval at which a reader reads the host list, in seconds."""
 
 HOST_LIST_KEY = "hosts"
-"""Key whose rendezvous order chooses the readers of the host list."""
+"""Key of the rendezvous hashing that selects the readers of the host list."""
 
 _CALLERS = itertools.count()
 
 
 class Engine:
-    """Connects a node's core with its adapters.
+    """Passes events of the adapters to a node's core and runs the core's actions.
 
     Parameters
     ----------
@@ -56,7 +56,7 @@
         self.failed = False
 
     def start(self) -> None:
-        """Listen for peers and start the timer."""
+        """Listen for peers and start the periodic ticks and host list reads."""
         self.peers.listen()
         self._timer.start()
         if self.host_list is not None:
@@ -69,14 +69,17 @@
         )
 
     def emit(self, event: base.Event) -> None:
-        """Apply an event to the core and carry out the actions."""
+        """Apply an event to the core and carry out the actions that it returns.
+
+        A violated invariant stops the engine and sets ``failed``.
+        """
         if self._stopped:
             return
         try:
             actions = self.core.handle(event, time.monotonic())
         except exceptions.InvariantError as error:
-            # What the event led to is not carried out: no answer is better than
-            # one that breaks a guarantee.
+            # The actions of the event are dropped: no answer is better than one
+            # that violates a guarantee.
             logs.write(logs.LogEvent.INVARIANT_BROKEN, {"text": str(error)})
             logs.flush()
             self.failed = self._stopped = True
@@ -85,7 +88,7 @@
             carry_out(action, self)
 
     def expect_reply(self, caller: str, receive) -> None:
-        """Pass replies to a caller to the callable ``receive``."""
+        """Register the callable that receives the replies to a caller."""
         self.replies[caller] = receive
 
     async def submit(self, request) -> object:
@@ -100,12 +103,12 @@
             self.replies.pop(caller, None)
 
     def forget_caller(self, caller: str) -> None:
-        """Forget a caller and cancel its statements."""
+        """Remove a caller; its open statements are cancelled."""
         if self.replies.pop(caller, None) is not None:
             self.emit(base.CallerGone(caller=caller))
 
     def stop(self) -> None:
-        """Pass on what must not be lost, and close all adapters."""
+        """Run the node's last actions, so that no usage is lost, and close adapters."""
         for action in node.prepare_stop(self.core.board, time.monotonic()):
             carry_out(action, self)
         self._timer.stop()
@@ -125,9 +128,10 @@
         logs.flush()
 
     async def _read_hosts(self) -> None:
-        """Read the host list if this node is one of its few readers.
+        """Read the host list if this node is one of its readers.
 
-        A node that knows no other host reads it too, so that it can join.
+        Only a few nodes read it, which bounds the load on the platform. A node that
+        knows no other host reads it too, so that it can join.
         """
         board = self.core.board
         if len(board.hosts) > 1 and not hosts.is_reader(board, HOST_LIST_KEY):
@@ -143,7 +147,7 @@
 
 @functools.singledispatch
 def carry_out(action: base.Action, engine: Engine) -> None:
-    """Carry out an action of the core."""
+    """Carry out an action of the core through the engine's adapters."""
     raise NotImplementedError(type(action).__name__)
 
 
@@ -157,7 +161,8 @@
 @carry_out.register
 def _(action: base.SendPeer, engine: Engine) -> None:
     record = engine.core.board.hosts.get(action.host)
-    # A joining node knows only the addresses of the host list or its settings.
+    # The host is an address while its name is not known: a joining node knows only
+    # the addresses of the host list or its settings.
     address = record.address if record is not None else action.host
     if ":" not in address:
         event = base.PeerUnsent(host=action.host, message=action.message)
--- a/hyssopshelf/runtime/hostlist.py
+++ b/hyssopshelf/runtime/hostlist.py
@@ -1,4 +1,4 @@
-"""Adapter of the platform's list of hosts."""
+"""Client of the platform's host list."""
 
 import json
 
@@ -9,19 +9,19 @@
 from hyssopshelf import exceptions, messages, platform
 
 READ_TIMEOUT_SECONDS = 2.0
-"""Time after which a read is given up; the next one follows within seconds."""
+"""Timeout of a read, in seconds; the next read follows within seconds."""
 
 
 @attrs.define(kw_only=True)
 class HostListAdapter:
-    """Reads the list of hosts.
+    """Reads the platform's host list over HTTP.
 
     Parameters
     ----------
     url : str
-        Base of the list's address, such as ``http://10.0.0.5:8500``.
+        Base URL of the host list, such as ``http://10.0.0.5:8500``.
     timeout_seconds : float
-        Time after which a read fails.
+        Timeout of a read, in seconds.
     """
 
     url: str
@@ -31,14 +31,14 @@
     )
 
     async def read(self) -> result.Result[tuple[platform.HostEntry, ...], str]:
-        """Read the list.
+        """Read the host list.
 
         Returns
         -------
         Ok(tuple of HostEntry)
-            The rows of the list.
+            All hosts of the list.
         Err(str)
-            The list did not answer in time or not as expected.
+            The request failed, timed out or had a malformed response.
         """
         if self._client is None:
             self._client = tornado.httpclient.AsyncHTTPClient(force_instance=True)
@@ -51,13 +51,13 @@
             rows = json.loads(response.body)["hosts"]
             hosts = messages.structure(rows, tuple[platform.HostEntry, ...])
         except (tornado.httpclient.HTTPError, OSError) as error:
-            return result.Err(f"host list did not answer: {error}")
+            return result.Err(f"cannot read the host list: {error}")
         except (ValueError, KeyError, TypeError, exceptions.CodecError) as error:
-            return result.Err(f"host list answered with malformed rows: {error!r}")
+            return result.Err(f"malformed response of the host list: {error!r}")
         return result.Ok(hosts)
 
     def close(self) -> None:
-        """Release the client."""
+        """Close the HTTP client."""
         if self._client is not None:
             self._client.close()
             self._client = None
--- a/hyssopshelf/runtime/metrics.py
+++ b/hyssopshelf/runtime/metrics.py
@@ -1,11 +1,11 @@
-"""Metrics of a node in the Prometheus text format."""
+"""Renders the metrics of a node in the Prometheus text format."""
 
 import aioprometheus
 from aioprometheus import renderer
 
 
 def render(engine) -> tuple[bytes, dict]:
-    """Return the body and headers of the metrics page."""
+    """Return the body and headers of a metrics response for an engine."""
     board = engine.core.board
     registry = aioprometheus.Registry()
     events = aioprometheus.Counter(
