--- a/hyssopshelf/runtime/resources.py
+++ b/hyssopshelf/runtime/resources.py
@@ -1,8 +1,8 @@
 """HTTP handlers of the resource API.
 
-The handlers turn HTTP requests into the typed requests of
-``configuration.requests`` and pass them to a callable
-``submit(request) -> awaitable answer``.
+The handlers parse HTTP requests into the types of ``configuration.requests`` and pass
+them to a callable ``submit(request) -> awaitable answer``, so that they depend neither
+on the engine nor on the core.
 """
 
 import collections
@@ -14,7 +14,7 @@
 from hyssopshelf.configuration import declarations, documents, requests, resources
 
 DEFAULT_SECONDS = 5.0
-"""Time for a request that does not name one."""
+"""Default time limit of a request, in seconds."""
 
 MAXIMUM_SECONDS = 60.0
 
@@ -38,14 +38,14 @@
 
 
 class ResourceBaseHandler(tornado.web.RequestHandler):
-    """Common parts of the handlers."""
+    """Parses parameters and bodies and writes answers, for all handlers of the API."""
 
     def initialize(self, submit: Submit) -> None:
         """Store the callable that passes requests to the node."""
         self.submit = submit
 
     def write_error(self, status_code: int, **kwargs) -> None:
-        """Answer errors as JSON; a validation error names its field."""
+        """Write an error as JSON; a validation error names its field and rule."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if isinstance(error, exceptions.ValidationError):
             answer = requests.ApiAnswer(
@@ -62,21 +62,27 @@
         self.finish({"error": kind.value, "message": self._reason})
 
     def log_exception(self, typ, value, tb) -> None:
-        """Leave validation errors out of the log; they are answers."""
+        """Log an exception, except validation errors, which only go to the client."""
         if not isinstance(value, exceptions.ValidationError):
             super().log_exception(typ, value, tb)
 
     def answer(self, answer: requests.ApiAnswer) -> None:
-        """Send an answer."""
+        """Write an answer and its HTTP status."""
         self.set_status(find_status(answer))
         self.finish(describe_answer(answer))
 
     async def pass_on(self, request: requests.ApiRequest) -> None:
-        """Pass a request to the node and send its answer."""
+        """Pass a request to the node and write its answer."""
         self.answer(await self.submit(request))
 
     def read_seconds(self) -> float:
-        """Return the time that the caller gives."""
+        """Return the time limit of the request, in seconds.
+
+        Raises
+        ------
+        ValidationError
+            If it is not a number, not positive or above the maximum.
+        """
         text = self.get_query_argument("seconds", str(DEFAULT_SECONDS))
         try:
             seconds = float(text)
@@ -89,14 +95,26 @@
         return seconds
 
     def read_number(self, name: str) -> int:
-        """Return a whole number of the query, 0 if it is not given."""
+        """Return a whole number of the query, 0 if it is not given.
+
+        Raises
+        ------
+        ValidationError
+            If it has other characters than digits.
+        """
         text = self.get_query_argument(name, "0")
         if not text.isdecimal():
             raise exceptions.ValidationError(name, "must be a whole number, 0 or more")
         return int(text)
 
     def read_change_id(self, value: object) -> str:
-        """Return a checked change id."""
+        """Return a change id after checking its type and length.
+
+        Raises
+        ------
+        ValidationError
+            If it is not a string, empty or too long.
+        """
         declarations.check_string(value, "changeId")
         if not 0 < len(value) <= MAXIMUM_CHANGE_ID_CHARACTERS:
             raise exceptions.ValidationError(
@@ -105,7 +123,13 @@
         return value
 
     def read_body(self, allowed: set[str], required: set[str]) -> dict:
-        """Return the JSON body, a mapping with known fields."""
+        """Return the JSON body, a mapping without unknown or missing fields.
+
+        Raises
+        ------
+        ValidationError
+            If the body is too long, is malformed or has other fields.
+        """
         if len(self.request.body) > declarations.MAXIMUM_TEXT_BYTES:
             raise exceptions.ValidationError(
                 "body", f"exceeds {declarations.MAXIMUM_TEXT_BYTES} bytes"
@@ -120,7 +144,13 @@
 
 
 def find_kind(text: str) -> resources.ResourceKind:
-    """Return a kind by its name, in any case."""
+    """Return the resource kind with a name; letter case is ignored.
+
+    Raises
+    ------
+    ValidationError
+        If no kind has the name.
+    """
     for kind in resources.ResourceKind:
         if kind.value.lower() == text.lower():
             return kind
@@ -131,7 +161,7 @@
 def group_by_pool(
     declared: tuple[resources.Resource, ...],
 ) -> dict[str, tuple[resources.Resource, ...]]:
-    """Return declared resources by pool; each pool is one change."""
+    """Return declared resources by pool; each pool is changed on its own."""
     groups = collections.defaultdict(list)
     for item in declared:
         groups[item.pool].append(item)
@@ -139,10 +169,10 @@
 
 
 class PoolHandler(ResourceBaseHandler):
-    """All resources of a pool, or the list of pools."""
+    """Reads or deletes a pool, or lists the versions of all pools."""
 
     async def get(self, pool: str = "") -> None:
-        """Read the resources of a pool, or the versions of all pools."""
+        """Write the resources of a pool, or the versions of all pools."""
         kind = self.get_query_argument("kind", "")
         await self.pass_on(
             requests.List(pool=pool, kind=find_kind(kind) if kind else None)
@@ -161,10 +191,10 @@
 
 
 class ResourceHandler(ResourceBaseHandler):
-    """One resource."""
+    """Reads, replaces or deletes one resource."""
 
     async def get(self, pool: str, kind: str, name: str) -> None:
-        """Read the resource."""
+        """Write the resource."""
         await self.pass_on(requests.Get(pool=pool, kind=find_kind(kind), name=name))
 
     async def post(self, pool: str, kind: str, name: str) -> None:
@@ -177,7 +207,9 @@
             find_kind(kind),
             name,
         ):
-            raise exceptions.ValidationError("metadata", "differs from the path")
+            raise exceptions.ValidationError(
+                "metadata", "pool, kind and name must match the path"
+            )
         await self.pass_on(
             requests.Apply(
                 pool=pool,
@@ -207,13 +239,13 @@
 
 
 class ManyHandler(ResourceBaseHandler):
-    """Requests about resources of one or several pools."""
+    """Submits one request for each pool that the body names."""
 
     async def answer_all(self, all_requests: list[requests.ApiRequest]) -> None:
-        """Pass on a request for each pool and answer with all results.
+        """Submit the requests in order and write all results.
 
-        The status is that of the first error; the results tell for each pool
-        what happened, since pools are changed independently of each other.
+        Pools are changed independently of each other, so each has its own result.
+        The HTTP status is that of the first error.
         """
         answers = [await self.submit(request) for request in all_requests]
         failed = [answer for answer in answers if answer.error is not None]
@@ -229,7 +261,7 @@
     """Creates or replaces resources."""
 
     async def post(self) -> None:
-        """Apply the resources of each pool together."""
+        """Apply the resources of each pool as one change."""
         body = self.read_body(
             {"changeId", "resources", "baseVersion"}, {"changeId", "resources"}
         )
@@ -240,7 +272,7 @@
         groups = group_by_pool(declarations.parse_resources([body["resources"]]))
         if base_version and len(groups) > 1:
             raise exceptions.ValidationError(
-                "baseVersion", "is of one pool; the resources are of several"
+                "baseVersion", "is allowed only if all resources are of one pool"
             )
         seconds = self.read_seconds()
         await self.answer_all(
@@ -258,10 +290,10 @@
 
 
 class DiffHandler(ManyHandler):
-    """Compares declared resources with those in force."""
+    """Compares declared resources with the configuration in force."""
 
     async def post(self) -> None:
-        """Answer the differences of each pool."""
+        """Write the differences of each pool."""
         body = self.read_body({"resources"}, {"resources"})
         groups = group_by_pool(declarations.parse_resources([body["resources"]]))
         await self.answer_all(
@@ -273,10 +305,10 @@
 
 
 class WatchHandler(ResourceBaseHandler):
-    """Waits for a new version."""
+    """Waits for a new version of a pool's configuration."""
 
     async def get(self) -> None:
-        """Answer when a version above ``afterVersion`` is in force here."""
+        """Answer once a version above ``afterVersion`` is in force at this node."""
         await self.pass_on(
             requests.Watch(
                 pool=self.get_query_argument("pool"),
@@ -287,10 +319,10 @@
 
 
 class StatusHandler(ResourceBaseHandler):
-    """Tells on how many nodes a version is in force."""
+    """Reports on how many nodes a version is in force."""
 
     async def get(self) -> None:
-        """Ask all nodes."""
+        """Query all nodes and write their counts."""
         await self.pass_on(
             requests.Status(
                 pool=self.get_query_argument("pool"),
@@ -301,10 +333,10 @@
 
 
 class BillHandler(ResourceBaseHandler):
-    """Tells the slot time that was used."""
+    """Reports the slot time that a pool has used."""
 
     async def get(self) -> None:
-        """Answer the account of a pool."""
+        """Write the bill of a pool."""
         await self.pass_on(requests.Bill(pool=self.get_query_argument("pool")))
 
 
@@ -312,7 +344,7 @@
     """Stops the node gracefully."""
 
     async def post(self) -> None:
-        """Start the drain."""
+        """Start draining; the process exits when idle or at the drain deadline."""
         await self.pass_on(requests.Drain())
 
 
--- a/hyssopshelf/runtime/server.py
+++ b/hyssopshelf/runtime/server.py
@@ -1,4 +1,4 @@
-"""The caller's interface of a node: websocket sessions, HTTP, health, metrics."""
+"""HTTP server of a node: websocket sessions, statements, health and metrics."""
 
 import asyncio
 import itertools
@@ -11,16 +11,17 @@
 from hyssopshelf.runtime import metrics
 
 MAXIMUM_FRAME_BYTES = 1024 * 1024
-"""Largest frame or body of a caller, in bytes."""
+"""Maximum size of a websocket message from a client, in bytes."""
 
 REPLY_MARGIN_SECONDS = 1.0
-"""The HTTP handler waits this long beyond the deadline; the core answers first."""
+"""Time that the HTTP handler waits beyond a statement's deadline, in seconds, so that
+the core's answer arrives before the handler times out."""
 
 _CALLERS = itertools.count()
 
 
 class SessionHandler(tornado.websocket.WebSocketHandler):
-    """Statements of one caller, multiplexed by their ids."""
+    """Websocket of one client, whose statements are multiplexed by their ids."""
 
     def initialize(self, engine: engines.Engine) -> None:
         """Store the engine."""
@@ -28,16 +29,16 @@
         self.caller = f"session-{next(_CALLERS)}"
 
     def check_origin(self, origin: str) -> bool:
-        """Accept any origin; callers are programs, not pages."""
+        """Accept any origin; clients are programs, not web pages."""
         return True
 
     def open(self) -> None:
-        """Register the reply channel."""
+        """Register for the answers to this client."""
         self.set_nodelay(True)
         self.engine.expect_reply(self.caller, self._send)
 
     def on_message(self, data: str | bytes) -> None:
-        """Pass a statement to the core."""
+        """Pass a statement to the core; a malformed one is answered here."""
         try:
             statement = messages.from_json(data, messages.Statement)
         except exceptions.CodecError as error:
@@ -51,7 +52,7 @@
         )
 
     def on_close(self) -> None:
-        """Cancel the caller's statements."""
+        """Cancel the client's open statements."""
         self.engine.forget_caller(self.caller)
 
     def _send(self, answer: messages.Answer) -> None:
@@ -65,14 +66,14 @@
 
 
 class StatementHandler(tornado.web.RequestHandler):
-    """One statement as an HTTP request."""
+    """Runs one statement for each HTTP request."""
 
     def initialize(self, engine: engines.Engine) -> None:
         """Store the engine."""
         self.engine = engine
 
     async def post(self) -> None:
-        """Run a statement and answer with its status code and JSON body."""
+        """Run a statement and write its answer as JSON with the matching status."""
         try:
             statement = messages.from_json(self.request.body, messages.Statement)
         except exceptions.CodecError as error:
@@ -105,22 +106,22 @@
 
 
 class HealthHandler(tornado.web.RequestHandler):
-    """Tells that the process runs."""
+    """Liveness check: responds as long as the event loop runs."""
 
     def get(self) -> None:
-        """Answer that the process runs."""
+        """Respond with status 200."""
         self.finish({"status": "ok"})
 
 
 class ReadyHandler(tornado.web.RequestHandler):
-    """Tells whether the node takes new statements."""
+    """Readiness check: reports whether the node accepts new statements."""
 
     def initialize(self, engine: engines.Engine) -> None:
         """Store the engine."""
         self.engine = engine
 
     def get(self) -> None:
-        """Answer 200 when ready, 503 with the reason otherwise."""
+        """Respond with 200 when ready, else with 503 and the reason."""
         board = self.engine.core.board
         reason = ""
         if board.draining:
@@ -139,7 +140,7 @@
         self.engine = engine
 
     def get(self) -> None:
-        """Answer with the current values."""
+        """Respond with the current values."""
         body, headers = metrics.render(self.engine)
         for name, value in headers.items():
             self.set_header(name, value)
@@ -149,7 +150,15 @@
 def make_application(
     engine: engines.Engine, extra_handlers: tuple = ()
 ) -> tornado.web.Application:
-    """Return the application that serves callers and operators of a node."""
+    """Return the web application of a node.
+
+    Parameters
+    ----------
+    engine : Engine
+        The engine that runs the node.
+    extra_handlers : tuple
+        Further routes, such as those of the resource API.
+    """
     arguments = {"engine": engine}
     return tornado.web.Application(
         [
--- a/hyssopshelf/runtime/settings.py
+++ b/hyssopshelf/runtime/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node, from flags and environment variables."""
+"""Reads and checks the settings of a node from flags and environment variables."""
 
 import argparse
 import ipaddress
@@ -13,12 +13,14 @@
 _NAME = re.compile(r"^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$")
 _LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 MINIMUM_KEY_BYTES = 16
+"""Minimum length of a token key, in bytes."""
+
 MAXIMUM_DRAIN_SECONDS = 600.0
 
 
 @attrs.frozen(kw_only=True)
 class Settings:
-    """Checked settings of a node."""
+    """Validated settings of a node; optional addresses are empty if not given."""
 
     host: str
     place: str
@@ -36,7 +38,7 @@
 
 
 def make_parser() -> configargparse.ArgumentParser:
-    """Return the parser of the command line and environment."""
+    """Return the parser of the command line and the environment variables."""
     parser = configargparse.ArgumentParser(
         prog="hyssopshelf-proxy",
         description="Run one node of hyssopshelf.",
@@ -49,13 +51,17 @@
     add("--host", required=True, help="name of this host, unique in the fleet")
     add("--place", required=True, help="place (failure domain) of this host")
     add("--region", default="", help="region of the place")
-    add("--listen", required=True, help="IP:port for callers and operators")
-    add("--peer-listen", required=True, help="IP:port for messages of other nodes")
+    add("--listen", required=True, help="IP:port for clients and operators")
+    add("--peer-listen", required=True, help="IP:port for messages from other nodes")
     add("--store-url", default="", help="http://IP:port of the platform's store")
     add("--host-list-url", default="", help="http://IP:port of the host list")
     add("--seeds", default="", help="nodes to join, host=IP:port, comma separated")
-    add("--token-keys", required=True, help="id:hex of each key; the first signs")
-    add("--drain-seconds", default="30", help="longest graceful stop, in seconds")
+    add("--token-keys", required=True, help="id:hex of each key; the first one signs")
+    add(
+        "--drain-seconds",
+        default="30",
+        help="time limit of a graceful stop, in seconds",
+    )
     add("--log-format", default="text", help="text or json")
     add("--log-level", default="INFO", help="one of " + ", ".join(_LEVELS))
     add("--check-settings", action="store_true", help="check the settings and exit")
@@ -64,12 +70,12 @@
 
 
 def load_settings(arguments: list[str], environment: dict[str, str]) -> Settings:
-    """Read and check the settings.
+    """Read and check the settings; flags override environment variables.
 
     Raises
     ------
     SettingError
-        If a setting is unknown, missing or not allowed.
+        If a setting is unknown or its value is not allowed.
     """
     parser = make_parser()
     check_environment(parser, environment)
@@ -94,21 +100,24 @@
 
 
 def check_environment(parser, environment: dict[str, str]) -> None:
-    """Refuse environment variables with our prefix that name no setting."""
+    """Raise SettingError for a variable with the prefix that is not a setting.
+
+    A misspelt variable would else be ignored silently.
+    """
     known = {
         PREFIX + option.lstrip("-").replace("-", "_").upper()
         for action in parser._actions
         for option in action.option_strings
     }
-    # The operators' command has its own variable, which may be set on a host.
+    # The operators' command has its own variable, which may be set on this host.
     known.add(PREFIX + "SERVER")
     for name in environment:
         if name.startswith(PREFIX) and name not in known:
-            raise exceptions.SettingError(f"{name}: no such setting")
+            raise exceptions.SettingError(f"{name} is not a known setting")
 
 
 def check_name(setting: str, value: str) -> str:
-    """Check a name of a host, place or region."""
+    """Return the name of a host, place or region, or raise SettingError."""
     if not _NAME.match(value):
         raise exceptions.SettingError(
             f"{setting}: {value!r} is not allowed; use 1 to 63 of a-z, 0-9, '.', '-'"
@@ -117,7 +126,7 @@
 
 
 def check_address(setting: str, value: str) -> str:
-    """Check an ``IP:port`` address."""
+    """Return an ``IP:port`` address, or raise SettingError."""
     address, _, port = value.rpartition(":")
     try:
         ipaddress.ip_address(address.strip("[]"))
@@ -126,13 +135,16 @@
         valid = False
     if not valid:
         raise exceptions.SettingError(
-            f"{setting}: {value!r} is not allowed; use IP:port with an IP number"
+            f"{setting}: {value!r} is not allowed; use IP:port with a numeric IP"
         )
     return value
 
 
 def check_url(setting: str, value: str) -> str:
-    """Check the base address of a platform service; empty means none."""
+    """Return the base URL of a platform service without a trailing slash.
+
+    Empty means that the service is not used. Raises SettingError for other URLs.
+    """
     if not value:
         return value
     if not value.startswith("http://"):
@@ -144,7 +156,7 @@
 
 
 def check_seeds(setting: str, value: str) -> tuple[tuple[str, str], ...]:
-    """Check a list of ``host=IP:port``."""
+    """Return the pairs of host and address of a list of ``host=IP:port``."""
     seeds = []
     for item in filter(None, value.split(",")):
         host, separator, address = item.partition("=")
@@ -157,7 +169,7 @@
 
 
 def check_keys(setting: str, value: str) -> tuple[tuple[str, bytes], ...]:
-    """Check the token keys; the error does not show their values."""
+    """Return the token keys with their ids; errors never show a key."""
     keys = []
     for item in value.split(","):
         key_id, _, digits = item.partition(":")
@@ -177,7 +189,7 @@
 
 
 def check_number(setting: str, value: str, least: float, most: float) -> float:
-    """Check a number within bounds."""
+    """Return a number within bounds, or raise SettingError."""
     try:
         number = float(value)
     except ValueError:
@@ -190,7 +202,7 @@
 
 
 def check_choice(setting: str, value: str, choices: tuple[str, ...]) -> str:
-    """Check one of several words."""
+    """Return a value that is one of the choices, or raise SettingError."""
     if value not in choices:
         raise exceptions.SettingError(
             f"{setting}: {value!r} is not allowed; use one of {', '.join(choices)}"
