--- a/hyssopshelf/runtime/__init__.py
+++ b/hyssopshelf/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters that connect the core to tornado, pynng, the platform and endpoints."""
+"""The node's process: event loop, HTTP server, peer transport and adapters."""
--- a/hyssopshelf/runtime/store.py
+++ b/hyssopshelf/runtime/store.py
@@ -1,7 +1,7 @@
-"""Adapter of the platform's key-value store.
+"""Client of the platform's key-value store.
 
-Only this module knows the store's protocol: the JSON gateway form of the etcd
-v3 API. docs/store.md describes the calls and their limits.
+The store's protocol, the JSON gateway of the etcd v3 API, is confined to this module.
+docs/store.md describes the calls and their limits.
 """
 
 import asyncio
@@ -23,14 +23,14 @@
 from hyssopshelf import platform
 
 CALL_TIMEOUT_SECONDS = 2.0
-"""Time after which a call's outcome is unknown; the store answers in
-milliseconds when it is well."""
+"""Timeout of a call, in seconds, after which its outcome is unknown; a healthy store
+answers in milliseconds."""
 
 MAXIMUM_CALLS = 64
-"""Calls under way at the same time; further ones wait within their deadline."""
+"""Maximum number of concurrent calls; further calls are queued within their timeout."""
 
 OK_STATUS = 200
-"""HTTP status of a watch that was created."""
+"""HTTP status of the response to a watch that the store accepted."""
 
 NOT_FOUND_STATUS = 404
 """HTTP status for a lease that does not exist."""
@@ -49,14 +49,14 @@
 
 @attrs.define(kw_only=True)
 class StoreAdapter:
-    """Carries out the operations of ``platform`` at the store.
+    """Runs the operations of ``platform`` at the store.
 
     Parameters
     ----------
     url : str
-        Base of the store's address, such as ``http://10.0.0.5:2379``.
+        Base URL of the store, such as ``http://10.0.0.5:2379``.
     timeout_seconds : float
-        Time after which the outcome of a call is unknown.
+        Timeout of a call, in seconds, after which its outcome is unknown.
     """
 
     url: str
@@ -67,24 +67,24 @@
     _watches: set[asyncio.Task] = attrs.field(factory=set, init=False)
 
     async def call(self, operation) -> result.Result:
-        """Carry out an operation.
+        """Run an operation.
 
         Returns
         -------
         Ok(object)
-            The result that ``platform`` states for the operation.
+            The result that ``platform`` documents for the operation.
         Err(str)
-            The outcome is unknown: a change may have taken effect.
+            The outcome is unknown: a change may have been applied.
         """
         try:
             return result.Ok(await _perform(operation, self))
         except _FAILURES as error:
             name = type(operation).__name__
             text = str(error) or type(error).__name__
-            return result.Err(f"{name} at the store failed: {text}")
+            return result.Err(f"store operation {name} failed: {text}")
 
     async def post(self, path: str, body: dict) -> dict:
-        """Send one call and return its answer."""
+        """Send a call to a path of the store and return its JSON response."""
         if self._client is None:
             self._client = tornado.httpclient.AsyncHTTPClient(
                 force_instance=True, max_clients=MAXIMUM_CALLS
@@ -99,7 +99,20 @@
         return json.loads(response.body)
 
     async def watch(self, operation: platform.Watch) -> platform.Changes:
-        """Wait for changes on a stream of its own, within the deadline."""
+        """Wait for changes on a separate connection.
+
+        Returns
+        -------
+        Changes or None
+            The changes; none of them if the wait ended first. None if the store
+            has compacted the history since the revision.
+
+        Raises
+        ------
+        TimeoutError
+            If the store did not accept the connection in time, or the adapter was
+            closed.
+        """
         task = asyncio.ensure_future(_follow(self.url, operation))
         self._watches.add(task)
         try:
@@ -108,13 +121,13 @@
             )
         except asyncio.CancelledError:
             if task.cancelled() and not asyncio.current_task().cancelling():
-                raise TimeoutError("adapter is closed") from None
+                raise TimeoutError("the store adapter was closed") from None
             raise
         finally:
             self._watches.discard(task)
 
     def close(self) -> None:
-        """End the watches and release the client."""
+        """Cancel the open watches and close the HTTP client."""
         for task in self._watches:
             task.cancel()
         if self._client is not None:
@@ -127,7 +140,10 @@
 
 
 def _get_prefix_end(prefix: bytes) -> bytes:
-    """Return the end of the range of a prefix; one zero byte means no end."""
+    """Return the exclusive end of the key range of a prefix.
+
+    A single zero byte means that the range has no end, as the etcd v3 API defines it.
+    """
     stripped = prefix.rstrip(b"\xff")
     if not stripped:
         return b"\0"
@@ -136,7 +152,7 @@
 
 def _make_range(prefix: str) -> dict:
     data = prefix.encode()
-    # An empty key is not allowed; a zero byte is the lowest key.
+    # The store rejects an empty key; a zero byte is the lowest key.
     return {"key": _encode(data or b"\0"), "range_end": _encode(_get_prefix_end(data))}
 
 
@@ -206,8 +222,8 @@
 
 @_perform.register
 async def _(operation: platform.GrantLease, adapter: StoreAdapter):
-    # The protocol carries whole seconds. Rounding up keeps the lease at least
-    # as long as its holder asked for.
+    # The protocol has whole seconds only. Rounding up keeps the lease at least as
+    # long as its holder requested.
     seconds = max(1, math.ceil(operation.time_to_live_seconds))
     answer = await adapter.post("/v3/lease/grant", {"TTL": str(seconds)})
     return int(answer["ID"])
@@ -218,7 +234,7 @@
     try:
         await adapter.post("/v3/lease/revoke", {"ID": str(operation.lease)})
     except tornado.httpclient.HTTPClientError as error:
-        # A lease that does not exist has ended already.
+        # A lease that does not exist has expired or was revoked already.
         if error.code != NOT_FOUND_STATUS:
             raise
 
@@ -228,8 +244,8 @@
     changes = await adapter.watch(operation)
     if changes is not None:
         return changes
-    # The store no longer has the history since that revision, so the current
-    # values that are newer take its place.
+    # The store has compacted the history since that revision; the current entries
+    # with a newer revision are returned instead.
     answer = await adapter.post("/v3/kv/range", _make_range(operation.prefix))
     entries = tuple(
         entry
@@ -241,7 +257,10 @@
 
 @attrs.define
 class _WatchStream(tornado.httputil.HTTPMessageDelegate):
-    """Reads the lines of a watch's answer into a queue."""
+    """Splits the streamed response of a watch into a queue of lines.
+
+    None in the queue marks the end of the response or a rejected watch.
+    """
 
     lines: asyncio.Queue = attrs.field(factory=asyncio.Queue)
     _rest: bytes = b""
@@ -263,7 +282,7 @@
 
 
 async def _follow(url: str, operation: platform.Watch) -> platform.Changes | None:
-    """Open a watch and return its first changes; None if history is missing."""
+    """Open a watch and return its first changes, None if history was compacted."""
     parts = urllib.parse.urlsplit(url)
     client = tornado.tcpclient.TCPClient()
     stream = await client.connect(parts.hostname, parts.port)
@@ -300,20 +319,20 @@
             return platform.Changes(entries=(), revision=revision)
         if line is None:
             raise tornado.iostream.StreamClosedError(
-                real_error=OSError("the store ended the watch")
+                real_error=OSError("the store closed the watch")
             )
         body = json.loads(line)["result"]
         if body.get("canceled", False):
             return None
         revision = _read_revision(body)
-        # A store that was restored from an older copy has a lower revision; the
-        # caller sees it at once and reads again.
+        # A store that was restored from an older backup has a lower revision; the
+        # caller gets it at once and reads all entries again.
         if revision < operation.after_revision or "events" in body:
             return platform.Changes(entries=_read_events(body), revision=revision)
 
 
 def _read_events(body: dict) -> tuple[platform.Entry, ...]:
-    """Return the written entries; deletions only raise the revision."""
+    """Return the written entries; a deletion only advances the revision."""
     return tuple(
         _read_entry(event["kv"])
         for event in body.get("events", [])
--- a/hyssopshelf/runtime/wire.py
+++ b/hyssopshelf/runtime/wire.py
@@ -1,7 +1,7 @@
-"""JSON frames of the database group's interface.
+"""JSON frames of the endpoints' websocket protocol.
 
-A data connection is one websocket; a control channel is another one on which
-calls are multiplexed by id. The stand-in serves the same frames.
+A data connection is a websocket of its own; control calls share another websocket, on
+which they are multiplexed by id. The stand-in endpoint serves the same frames.
 """
 
 import attrs
@@ -11,12 +11,12 @@
 CONNECTION_PATH = "/v1/connection"
 CONTROL_PATH = "/v1/control"
 FULL_CLOSE_CODE = 4029
-"""Websocket close code of an endpoint that has no connection left."""
+"""Websocket close code of an endpoint that has reached its connection limit."""
 
 
 @attrs.frozen(kw_only=True)
 class RequestFrame:
-    """A request on a data connection."""
+    """Request on a data connection."""
 
     id: str
     request: messages.EndpointRequest
@@ -24,7 +24,7 @@
 
 @attrs.frozen(kw_only=True)
 class AnswerFrame:
-    """The answer to the request with the same id."""
+    """Answer to the request with the same id."""
 
     id: str
     answer: messages.EndpointAnswer
@@ -39,7 +39,7 @@
 
 @attrs.frozen(kw_only=True)
 class ControlFrame:
-    """A control call; exactly one of the orders is set, none asks for status."""
+    """Control call with at most one operation; one without requests the status."""
 
     id: str
     fence: messages.Fence | None = None
@@ -49,7 +49,7 @@
 
 @attrs.frozen(kw_only=True)
 class ControlReply:
-    """The answer to a control call; ``granted`` is true for a status."""
+    """Reply to a control call; ``granted`` is always true for a status request."""
 
     id: str
     granted: bool
