--- a/hyssopshelf/runtime/daemon.py
+++ b/hyssopshelf/runtime/daemon.py
@@ -21,7 +21,7 @@
 EXIT_INVARIANT = 4
 """Exit status after a violated invariant."""
 
-DRAIN_CHECK_SECONDS = 0.05
+STOP_CHECK_INTERVAL_SECONDS = 0.05
 """Interval between checks for a stop request and for a finished drain, in seconds."""
 
 
@@ -88,7 +88,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
     while not (stopping.is_set() or engine.core.board.draining or engine.failed):
-        await asyncio.sleep(DRAIN_CHECK_SECONDS)
+        await asyncio.sleep(STOP_CHECK_INTERVAL_SECONDS)
     drained = await drain(engine, loop.time() + values.drain_seconds)
     if engine.failed:
         return EXIT_INVARIANT
@@ -118,7 +118,7 @@
     while not node.is_idle(board, time.monotonic()):
         if engine.failed or asyncio.get_running_loop().time() >= deadline:
             return False
-        await asyncio.sleep(DRAIN_CHECK_SECONDS)
+        await asyncio.sleep(STOP_CHECK_INTERVAL_SECONDS)
     return True
 
 
--- a/hyssopshelf/runtime/endpoints.py
+++ b/hyssopshelf/runtime/endpoints.py
@@ -37,7 +37,7 @@
         self.emit = emit
         self.find_address = find_address
         self._connections: dict[str, tornado.websocket.WebSocketClientConnection] = {}
-        self._controls: dict[str, ControlChannel] = {}
+        self._control_channels: dict[str, ControlChannel] = {}
         self._tasks: set[asyncio.Task] = set()
 
     def open(self, endpoint: str, connection: str) -> None:
@@ -52,12 +52,12 @@
         socket = self._connections.get(connection)
         frame = wire.RequestFrame(id=request_id, request=request)
         if socket is None:
-            self._defer(base.ConnectionClosed(connection=connection))
+            self._emit_later(base.ConnectionClosed(connection=connection))
             return
         try:
             future = socket.write_message(messages.to_json(frame).decode())
         except tornado.websocket.WebSocketClosedError:
-            self._defer(base.ConnectionClosed(connection=connection))
+            self._emit_later(base.ConnectionClosed(connection=connection))
             return
         # A failed write also ends the read loop, which emits ConnectionClosed.
         future.add_done_callback(lambda done: done.exception())
@@ -82,7 +82,7 @@
             task.cancel()
         for socket in list(self._connections.values()):
             socket.close()
-        for channel in list(self._controls.values()):
+        for channel in list(self._control_channels.values()):
             channel.close()
 
     def _spawn(self, coroutine) -> None:
@@ -90,7 +90,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _defer(self, event: base.Event) -> None:
+    def _emit_later(self, event: base.Event) -> None:
         tornado.ioloop.IOLoop.current().add_callback(self.emit, event)
 
     async def _run_connection(self, endpoint: str, connection: str) -> None:
@@ -125,9 +125,9 @@
                 )
                 if greeting is not None:
                     return socket
-                refused = socket.close_code == wire.FULL_CLOSE_CODE
+                refused = socket.close_code == wire.CONNECTION_LIMIT_CLOSE_CODE
                 reason = "the endpoint refused the connection"
-            except _CONNECT_ERRORS as error:
+            except _CONNECTION_ERRORS as error:
                 reason = f"cannot connect: {error!r}"
         self.emit(
             base.ConnectionFailed(connection=connection, refused=refused, reason=reason)
@@ -135,7 +135,7 @@
         return None
 
     async def _probe(self, endpoint: str, probe_id: str) -> None:
-        reply = await self._exchange(endpoint, wire.ControlFrame(id=probe_id))
+        reply = await self._exchange_control(endpoint, wire.ControlFrame(id=probe_id))
         self.emit(
             base.StatusReceived(
                 endpoint=endpoint,
@@ -145,7 +145,9 @@
         )
 
     async def _call_control(self, endpoint: str, call_id: str, operation) -> None:
-        reply = await self._exchange(endpoint, make_frame(operation, call_id))
+        reply = await self._exchange_control(
+            endpoint, make_control_frame(operation, call_id)
+        )
         answer = None
         if reply is not None:
             answer = messages.ControlAnswer(granted=reply.granted, status=reply.status)
@@ -153,20 +155,20 @@
             base.ControlAnswered(endpoint=endpoint, call_id=call_id, answer=answer)
         )
 
-    async def _exchange(
+    async def _exchange_control(
         self, endpoint: str, frame: wire.ControlFrame
     ) -> wire.ControlReply | None:
         address = self.find_address(endpoint)
         if address is None:
             return None
-        channel = self._controls.get(address)
+        channel = self._control_channels.get(address)
         if channel is None:
-            channel = self._controls[address] = ControlChannel(address=address)
+            channel = self._control_channels[address] = ControlChannel(address=address)
         try:
             return await asyncio.wait_for(
                 channel.exchange(frame), CONTROL_TIMEOUT_SECONDS
             )
-        except _CONNECT_ERRORS:
+        except _CONNECTION_ERRORS:
             return None
 
 
@@ -185,7 +187,7 @@
         self.address = address
         self._socket = None
         self._lock = asyncio.Lock()
-        self._waiting: dict[str, asyncio.Future] = {}
+        self._pending_replies: dict[str, asyncio.Future] = {}
         self._reader: asyncio.Task | None = None
 
     async def exchange(self, frame: wire.ControlFrame) -> wire.ControlReply:
@@ -201,12 +203,12 @@
                 self._socket = await _open_socket(self.address, wire.CONTROL_PATH)
                 self._reader = asyncio.ensure_future(self._read(self._socket))
         future = asyncio.get_running_loop().create_future()
-        self._waiting[frame.id] = future
+        self._pending_replies[frame.id] = future
         try:
             await self._socket.write_message(messages.to_json(frame).decode())
             return await future
         finally:
-            self._waiting.pop(frame.id, None)
+            self._pending_replies.pop(frame.id, None)
 
     def close(self) -> None:
         """Cancel the reader and close the websocket."""
@@ -222,34 +224,34 @@
                 reply = messages.from_json(data, wire.ControlReply)
             except exceptions.CodecError:
                 break
-            future = self._waiting.get(reply.id)
+            future = self._pending_replies.get(reply.id)
             if future is not None and not future.done():
                 future.set_result(reply)
         socket.close()
         if self._socket is socket:
             self._socket = None
-        for future in self._waiting.values():
+        for future in self._pending_replies.values():
             if not future.done():
                 future.set_exception(ConnectionError("control channel closed"))
 
 
 @functools.singledispatch
-def make_frame(operation, call_id: str) -> wire.ControlFrame:
+def make_control_frame(operation, call_id: str) -> wire.ControlFrame:
     """Return a control operation as a frame with the id of the call."""
     raise NotImplementedError(type(operation).__name__)
 
 
-@make_frame.register
+@make_control_frame.register
 def _(operation: messages.Fence, call_id: str) -> wire.ControlFrame:
     return wire.ControlFrame(id=call_id, fence=operation)
 
 
-@make_frame.register
+@make_control_frame.register
 def _(operation: messages.Promote, call_id: str) -> wire.ControlFrame:
     return wire.ControlFrame(id=call_id, promote=operation)
 
 
-@make_frame.register
+@make_control_frame.register
 def _(operation: messages.Follow, call_id: str) -> wire.ControlFrame:
     return wire.ControlFrame(id=call_id, follow=operation)
 
@@ -261,7 +263,7 @@
     return await tornado.websocket.websocket_connect(request)
 
 
-_CONNECT_ERRORS = (
+_CONNECTION_ERRORS = (
     OSError,
     TimeoutError,
     tornado.httpclient.HTTPError,
--- a/hyssopshelf/runtime/engine.py
+++ b/hyssopshelf/runtime/engine.py
@@ -12,13 +12,13 @@
 from hyssopshelf.membership import hosts
 from hyssopshelf.runtime import endpoints, peers
 
-HOST_LIST_SECONDS = 1.0
+HOST_LIST_INTERVAL_SECONDS = 1.0
 """Interval at which a reader reads the host list, in seconds."""
 
 HOST_LIST_KEY = "hosts"
 """Key of the rendezvous hashing that selects the readers of the host list."""
 
-_CALLERS = itertools.count()
+_CALLER_NUMBERS = itertools.count()
 
 
 class Engine:
@@ -38,7 +38,7 @@
         self.core = core
         self.store = store
         self.host_list = host_list
-        self.replies: dict[str, object] = {}
+        self.reply_callbacks: dict[str, object] = {}
         identity = core.board.identity
         self.peers = peers.PeerTransport(
             host=identity.host, address=identity.address, emit=self.emit
@@ -46,11 +46,11 @@
         self.endpoints = endpoints.EndpointAdapter(
             emit=self.emit, find_address=self._find_address
         )
-        self._timer = tornado.ioloop.PeriodicCallback(
+        self._tick_timer = tornado.ioloop.PeriodicCallback(
             self._tick, node.TICK_SECONDS * 1000
         )
-        self._list_timer = tornado.ioloop.PeriodicCallback(
-            self._read_hosts, HOST_LIST_SECONDS * 1000
+        self._host_list_timer = tornado.ioloop.PeriodicCallback(
+            self._read_host_list, HOST_LIST_INTERVAL_SECONDS * 1000
         )
         self._stopped = False
         self.failed = False
@@ -58,10 +58,10 @@
     def start(self) -> None:
         """Listen for peers and start the periodic ticks and host list reads."""
         self.peers.listen()
-        self._timer.start()
+        self._tick_timer.start()
         if self.host_list is not None:
-            self._list_timer.start()
-            tornado.ioloop.IOLoop.current().add_callback(self._read_hosts)
+            self._host_list_timer.start()
+            tornado.ioloop.IOLoop.current().add_callback(self._read_host_list)
         identity = self.core.board.identity
         logs.write(
             logs.LogEvent.PROCESS_STARTED,
@@ -87,32 +87,32 @@
         for action in actions:
             carry_out(action, self)
 
-    def expect_reply(self, caller: str, receive) -> None:
+    def register_caller(self, caller: str, callback) -> None:
         """Register the callable that receives the replies to a caller."""
-        self.replies[caller] = receive
+        self.reply_callbacks[caller] = callback
 
     async def submit(self, request) -> object:
         """Pass an operator's request to the core and return its answer."""
-        caller = f"operator-{next(_CALLERS)}"
+        caller = f"operator-{next(_CALLER_NUMBERS)}"
         future = asyncio.get_running_loop().create_future()
-        self.expect_reply(caller, future.set_result)
+        self.register_caller(caller, future.set_result)
         try:
             self.emit(base.ResourceRequested(caller=caller, request=request))
             return await future
         finally:
-            self.replies.pop(caller, None)
+            self.reply_callbacks.pop(caller, None)
 
-    def forget_caller(self, caller: str) -> None:
+    def remove_caller(self, caller: str) -> None:
         """Remove a caller; its open statements are cancelled."""
-        if self.replies.pop(caller, None) is not None:
+        if self.reply_callbacks.pop(caller, None) is not None:
             self.emit(base.CallerGone(caller=caller))
 
     def stop(self) -> None:
         """Run the node's last actions, so that no usage is lost, and close adapters."""
         for action in node.prepare_stop(self.core.board, time.monotonic()):
             carry_out(action, self)
-        self._timer.stop()
-        self._list_timer.stop()
+        self._tick_timer.stop()
+        self._host_list_timer.stop()
         self._stopped = True
         self.endpoints.close()
         self.peers.close()
@@ -127,7 +127,7 @@
         self.emit(base.Ticked())
         logs.flush()
 
-    async def _read_hosts(self) -> None:
+    async def _read_host_list(self) -> None:
         """Read the host list if this node is one of its readers.
 
         Only a few nodes read it, which bounds the load on the platform. A node that
@@ -153,9 +153,9 @@
 
 @carry_out.register
 def _(action: base.Reply, engine: Engine) -> None:
-    receive = engine.replies.get(action.caller)
-    if receive is not None:
-        receive(action.answer)
+    callback = engine.reply_callbacks.get(action.caller)
+    if callback is not None:
+        callback(action.answer)
 
 
 @carry_out.register
--- a/hyssopshelf/runtime/metrics.py
+++ b/hyssopshelf/runtime/metrics.py
@@ -16,7 +16,7 @@
     sizes = aioprometheus.Gauge(
         "hyssopshelf_state_entries", "Entries of the node's state", registry=registry
     )
-    for name, section in _find_sections(board).items():
+    for name, section in _get_sections(board).items():
         sizes.set({"section": name}, len(section))
     waiting = aioprometheus.Gauge(
         "hyssopshelf_queue_waiting", "Statements that wait", registry=registry
@@ -40,7 +40,7 @@
     return renderer.render(registry, ["text/plain"])
 
 
-def _find_sections(board) -> dict:
+def _get_sections(board) -> dict:
     return {
         "hosts": board.hosts,
         "endpoints": board.endpoints,
--- a/hyssopshelf/runtime/resources.py
+++ b/hyssopshelf/runtime/resources.py
@@ -13,24 +13,24 @@
 from hyssopshelf import exceptions
 from hyssopshelf.configuration import declarations, documents, requests, resources
 
-DEFAULT_SECONDS = 5.0
+DEFAULT_TIME_LIMIT_SECONDS = 5.0
 """Default time limit of a request, in seconds."""
 
-MAXIMUM_SECONDS = 60.0
+MAXIMUM_TIME_LIMIT_SECONDS = 60.0
 
 MAXIMUM_CHANGE_ID_CHARACTERS = 64
 
 Submit = Callable[[requests.ApiRequest], Awaitable[requests.ApiAnswer]]
 
 
-def describe_answer(answer: requests.ApiAnswer) -> dict:
+def make_body(answer: requests.ApiAnswer) -> dict:
     """Return the JSON body of an answer."""
     if answer.error is None:
         return answer.body
     return answer.body | {"error": answer.error.value, "message": answer.message}
 
 
-def find_status(answer: requests.ApiAnswer) -> int:
+def get_http_status(answer: requests.ApiAnswer) -> int:
     """Return the HTTP status of an answer."""
     if answer.error is None:
         return 200
@@ -68,14 +68,14 @@
 
     def answer(self, answer: requests.ApiAnswer) -> None:
         """Write an answer and its HTTP status."""
-        self.set_status(find_status(answer))
-        self.finish(describe_answer(answer))
+        self.set_status(get_http_status(answer))
+        self.finish(make_body(answer))
 
-    async def pass_on(self, request: requests.ApiRequest) -> None:
+    async def submit_request(self, request: requests.ApiRequest) -> None:
         """Pass a request to the node and write its answer."""
         self.answer(await self.submit(request))
 
-    def read_seconds(self) -> float:
+    def read_time_limit(self) -> float:
         """Return the time limit of the request, in seconds.
 
         Raises
@@ -83,18 +83,19 @@
         ValidationError
             If it is not a number, not positive or above the maximum.
         """
-        text = self.get_query_argument("seconds", str(DEFAULT_SECONDS))
+        text = self.get_query_argument("seconds", str(DEFAULT_TIME_LIMIT_SECONDS))
         try:
             seconds = float(text)
         except ValueError:
             seconds = 0.0
-        if not 0 < seconds <= MAXIMUM_SECONDS:
+        if not 0 < seconds <= MAXIMUM_TIME_LIMIT_SECONDS:
             raise exceptions.ValidationError(
-                "seconds", f"must be more than 0 and at most {MAXIMUM_SECONDS:g}"
+                "seconds",
+                f"must be more than 0 and at most {MAXIMUM_TIME_LIMIT_SECONDS:g}",
             )
         return seconds
 
-    def read_number(self, name: str) -> int:
+    def read_integer(self, name: str) -> int:
         """Return a whole number of the query, 0 if it is not given.
 
         Raises
@@ -143,7 +144,7 @@
         return body
 
 
-def find_kind(text: str) -> resources.ResourceKind:
+def parse_kind(text: str) -> resources.ResourceKind:
     """Return the resource kind with a name; letter case is ignored.
 
     Raises
@@ -174,18 +175,18 @@
     async def get(self, pool: str = "") -> None:
         """Write the resources of a pool, or the versions of all pools."""
         kind = self.get_query_argument("kind", "")
-        await self.pass_on(
-            requests.List(pool=pool, kind=find_kind(kind) if kind else None)
+        await self.submit_request(
+            requests.List(pool=pool, kind=parse_kind(kind) if kind else None)
         )
 
     async def delete(self, pool: str = "") -> None:
         """Delete a whole pool."""
-        await self.pass_on(
+        await self.submit_request(
             requests.Delete(
                 pool=pool,
                 change_id=self.read_change_id(self.get_query_argument("changeId", "")),
-                base_version=self.read_number("baseVersion"),
-                remaining_seconds=self.read_seconds(),
+                base_version=self.read_integer("baseVersion"),
+                remaining_seconds=self.read_time_limit(),
             )
         )
 
@@ -195,7 +196,9 @@
 
     async def get(self, pool: str, kind: str, name: str) -> None:
         """Write the resource."""
-        await self.pass_on(requests.Get(pool=pool, kind=find_kind(kind), name=name))
+        await self.submit_request(
+            requests.Get(pool=pool, kind=parse_kind(kind), name=name)
+        )
 
     async def post(self, pool: str, kind: str, name: str) -> None:
         """Create or replace the resource."""
@@ -204,44 +207,44 @@
         resource = declarations.parse_resource(plain)
         if (resource.pool, resource.kind, resource.name) != (
             pool,
-            find_kind(kind),
+            parse_kind(kind),
             name,
         ):
             raise exceptions.ValidationError(
                 "metadata", "pool, kind and name must match the path"
             )
-        await self.pass_on(
+        await self.submit_request(
             requests.Apply(
                 pool=pool,
                 change_id=self.read_change_id(self.get_query_argument("changeId", "")),
                 resources=(resource,),
-                base_version=self.read_number("baseVersion"),
-                remaining_seconds=self.read_seconds(),
+                base_version=self.read_integer("baseVersion"),
+                remaining_seconds=self.read_time_limit(),
             )
         )
 
     async def delete(self, pool: str, kind: str, name: str) -> None:
         """Delete the resource."""
         reference = documents.Reference(
-            kind=find_kind(kind),
+            kind=parse_kind(kind),
             name=name,
-            resource_version=self.read_number("resourceVersion"),
+            resource_version=self.read_integer("resourceVersion"),
         )
-        await self.pass_on(
+        await self.submit_request(
             requests.Delete(
                 pool=pool,
                 change_id=self.read_change_id(self.get_query_argument("changeId", "")),
                 references=(reference,),
-                base_version=self.read_number("baseVersion"),
-                remaining_seconds=self.read_seconds(),
+                base_version=self.read_integer("baseVersion"),
+                remaining_seconds=self.read_time_limit(),
             )
         )
 
 
-class ManyHandler(ResourceBaseHandler):
+class MultiplePoolsHandler(ResourceBaseHandler):
     """Submits one request for each pool that the body names."""
 
-    async def answer_all(self, all_requests: list[requests.ApiRequest]) -> None:
+    async def submit_all(self, all_requests: list[requests.ApiRequest]) -> None:
         """Submit the requests in order and write all results.
 
         Pools are changed independently of each other, so each has its own result.
@@ -249,15 +252,15 @@
         """
         answers = [await self.submit(request) for request in all_requests]
         failed = [answer for answer in answers if answer.error is not None]
-        self.set_status(find_status(failed[0]) if failed else 200)
+        self.set_status(get_http_status(failed[0]) if failed else 200)
         results = [
-            {"pool": request.pool} | describe_answer(answer)
+            {"pool": request.pool} | make_body(answer)
             for request, answer in zip(all_requests, answers, strict=True)
         ]
         self.finish({"results": results})
 
 
-class ApplyHandler(ManyHandler):
+class ApplyHandler(MultiplePoolsHandler):
     """Creates or replaces resources."""
 
     async def post(self) -> None:
@@ -274,8 +277,8 @@
             raise exceptions.ValidationError(
                 "baseVersion", "is allowed only if all resources are of one pool"
             )
-        seconds = self.read_seconds()
-        await self.answer_all(
+        seconds = self.read_time_limit()
+        await self.submit_all(
             [
                 requests.Apply(
                     pool=pool,
@@ -289,14 +292,14 @@
         )
 
 
-class DiffHandler(ManyHandler):
+class DiffHandler(MultiplePoolsHandler):
     """Compares declared resources with the configuration in force."""
 
     async def post(self) -> None:
         """Write the differences of each pool."""
         body = self.read_body({"resources"}, {"resources"})
         groups = group_by_pool(declarations.parse_resources([body["resources"]]))
-        await self.answer_all(
+        await self.submit_all(
             [
                 requests.Diff(pool=pool, resources=items)
                 for pool, items in groups.items()
@@ -309,11 +312,11 @@
 
     async def get(self) -> None:
         """Answer once a version above ``afterVersion`` is in force at this node."""
-        await self.pass_on(
+        await self.submit_request(
             requests.Watch(
                 pool=self.get_query_argument("pool"),
-                after_version=self.read_number("afterVersion"),
-                remaining_seconds=self.read_seconds(),
+                after_version=self.read_integer("afterVersion"),
+                remaining_seconds=self.read_time_limit(),
             )
         )
 
@@ -323,11 +326,11 @@
 
     async def get(self) -> None:
         """Query all nodes and write their counts."""
-        await self.pass_on(
+        await self.submit_request(
             requests.Status(
                 pool=self.get_query_argument("pool"),
-                version=self.read_number("version"),
-                remaining_seconds=self.read_seconds(),
+                version=self.read_integer("version"),
+                remaining_seconds=self.read_time_limit(),
             )
         )
 
@@ -337,7 +340,7 @@
 
     async def get(self) -> None:
         """Write the bill of a pool."""
-        await self.pass_on(requests.Bill(pool=self.get_query_argument("pool")))
+        await self.submit_request(requests.Bill(pool=self.get_query_argument("pool")))
 
 
 class DrainHandler(ResourceBaseHandler):
@@ -345,7 +348,7 @@
 
     async def post(self) -> None:
         """Start draining; the process exits when idle or at the drain deadline."""
-        await self.pass_on(requests.Drain())
+        await self.submit_request(requests.Drain())
 
 
 def make_handlers(submit: Submit) -> list[tuple]:
--- a/hyssopshelf/runtime/server.py
+++ b/hyssopshelf/runtime/server.py
@@ -17,7 +17,7 @@
 """Time that the HTTP handler waits beyond a statement's deadline, in seconds, so that
 the core's answer arrives before the handler times out."""
 
-_CALLERS = itertools.count()
+_CALLER_NUMBERS = itertools.count()
 
 
 class SessionHandler(tornado.websocket.WebSocketHandler):
@@ -26,7 +26,7 @@
     def initialize(self, engine: engines.Engine) -> None:
         """Store the engine."""
         self.engine = engine
-        self.caller = f"session-{next(_CALLERS)}"
+        self.caller = f"session-{next(_CALLER_NUMBERS)}"
 
     def check_origin(self, origin: str) -> bool:
         """Accept any origin; clients are programs, not web pages."""
@@ -35,7 +35,7 @@
     def open(self) -> None:
         """Register for the answers to this client."""
         self.set_nodelay(True)
-        self.engine.expect_reply(self.caller, self._send)
+        self.engine.register_caller(self.caller, self._send)
 
     def on_message(self, data: str | bytes) -> None:
         """Pass a statement to the core; a malformed one is answered here."""
@@ -53,7 +53,7 @@
 
     def on_close(self) -> None:
         """Cancel the client's open statements."""
-        self.engine.forget_caller(self.caller)
+        self.engine.remove_caller(self.caller)
 
     def _send(self, answer: messages.Answer) -> None:
         if self.ws_connection is None:
@@ -83,9 +83,9 @@
                 )
             )
             return
-        caller = f"http-{next(_CALLERS)}"
+        caller = f"http-{next(_CALLER_NUMBERS)}"
         future = asyncio.get_running_loop().create_future()
-        self.engine.expect_reply(caller, future.set_result)
+        self.engine.register_caller(caller, future.set_result)
         self.engine.emit(base.StatementReceived(caller=caller, statement=statement))
         try:
             limit = statement.remaining_seconds + REPLY_MARGIN_SECONDS
@@ -95,7 +95,7 @@
                 id=statement.id, error=exceptions.ErrorKind.OUTCOME_UNKNOWN
             )
         finally:
-            self.engine.forget_caller(caller)
+            self.engine.remove_caller(caller)
         self._finish(answer)
 
     def _finish(self, answer: messages.Answer) -> None:
--- a/hyssopshelf/runtime/settings.py
+++ b/hyssopshelf/runtime/settings.py
@@ -9,9 +9,9 @@
 
 from hyssopshelf import __version__, exceptions
 
-PREFIX = "HYSSOPSHELF_"
-_NAME = re.compile(r"^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$")
-_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
+ENVIRONMENT_PREFIX = "HYSSOPSHELF_"
+_NAME_PATTERN = re.compile(r"^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$")
+_LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 MINIMUM_KEY_BYTES = 16
 """Minimum length of a token key, in bytes."""
 
@@ -45,7 +45,7 @@
         formatter_class=argparse.ArgumentDefaultsHelpFormatter,
         allow_abbrev=False,
         add_env_var_help=True,
-        auto_env_var_prefix=PREFIX,
+        auto_env_var_prefix=ENVIRONMENT_PREFIX,
     )
     add = parser.add_argument
     add("--host", required=True, help="name of this host, unique in the fleet")
@@ -63,7 +63,7 @@
         help="time limit of a graceful stop, in seconds",
     )
     add("--log-format", default="text", help="text or json")
-    add("--log-level", default="INFO", help="one of " + ", ".join(_LEVELS))
+    add("--log-level", default="INFO", help="one of " + ", ".join(_LOG_LEVELS))
     add("--check-settings", action="store_true", help="check the settings and exit")
     add("--version", action="version", version=f"hyssopshelf {__version__}")
     return parser
@@ -89,12 +89,12 @@
         store_url=check_url("--store-url", values.store_url),
         host_list_url=check_url("--host-list-url", values.host_list_url),
         seeds=check_seeds("--seeds", values.seeds),
-        token_keys=check_keys("--token-keys", values.token_keys),
+        token_keys=check_token_keys("--token-keys", values.token_keys),
         drain_seconds=check_number(
             "--drain-seconds", values.drain_seconds, 0.0, MAXIMUM_DRAIN_SECONDS
         ),
         log_format=check_choice("--log-format", values.log_format, ("text", "json")),
-        log_level=check_choice("--log-level", values.log_level.upper(), _LEVELS),
+        log_level=check_choice("--log-level", values.log_level.upper(), _LOG_LEVELS),
         check_only=values.check_settings,
     )
 
@@ -105,20 +105,20 @@
     A misspelt variable would else be ignored silently.
     """
     known = {
-        PREFIX + option.lstrip("-").replace("-", "_").upper()
+        ENVIRONMENT_PREFIX + option.lstrip("-").replace("-", "_").upper()
         for action in parser._actions
         for option in action.option_strings
     }
     # The operators' command has its own variable, which may be set on this host.
-    known.add(PREFIX + "SERVER")
+    known.add(ENVIRONMENT_PREFIX + "SERVER")
     for name in environment:
-        if name.startswith(PREFIX) and name not in known:
+        if name.startswith(ENVIRONMENT_PREFIX) and name not in known:
             raise exceptions.SettingError(f"{name} is not a known setting")
 
 
 def check_name(setting: str, value: str) -> str:
     """Return the name of a host, place or region, or raise SettingError."""
-    if not _NAME.match(value):
+    if not _NAME_PATTERN.match(value):
         raise exceptions.SettingError(
             f"{setting}: {value!r} is not allowed; use 1 to 63 of a-z, 0-9, '.', '-'"
         )
@@ -168,7 +168,7 @@
     return tuple(seeds)
 
 
-def check_keys(setting: str, value: str) -> tuple[tuple[str, bytes], ...]:
+def check_token_keys(setting: str, value: str) -> tuple[tuple[str, bytes], ...]:
     """Return the token keys with their ids; errors never show a key."""
     keys = []
     for item in value.split(","):
@@ -188,15 +188,15 @@
     return tuple(keys)
 
 
-def check_number(setting: str, value: str, least: float, most: float) -> float:
+def check_number(setting: str, value: str, minimum: float, maximum: float) -> float:
     """Return a number within bounds, or raise SettingError."""
     try:
         number = float(value)
     except ValueError:
         number = float("nan")
-    if not least <= number <= most:
+    if not minimum <= number <= maximum:
         raise exceptions.SettingError(
-            f"{setting}: {value!r} is not allowed; use {least:g} to {most:g}"
+            f"{setting}: {value!r} is not allowed; use {minimum:g} to {maximum:g}"
         )
     return number
 
--- a/hyssopshelf/runtime/store.py
+++ b/hyssopshelf/runtime/store.py
@@ -26,7 +26,7 @@
 """Timeout of a call, in seconds, after which its outcome is unknown; a healthy store
 answers in milliseconds."""
 
-MAXIMUM_CALLS = 64
+MAXIMUM_CONCURRENT_CALLS = 64
 """Maximum number of concurrent calls; further calls are queued within their timeout."""
 
 OK_STATUS = 200
@@ -35,7 +35,7 @@
 NOT_FOUND_STATUS = 404
 """HTTP status for a lease that does not exist."""
 
-_FAILURES = (
+_CALL_ERRORS = (
     tornado.httpclient.HTTPError,
     tornado.iostream.StreamClosedError,
     OSError,
@@ -78,7 +78,7 @@
         """
         try:
             return result.Ok(await _perform(operation, self))
-        except _FAILURES as error:
+        except _CALL_ERRORS as error:
             name = type(operation).__name__
             text = str(error) or type(error).__name__
             return result.Err(f"store operation {name} failed: {text}")
@@ -87,7 +87,7 @@
         """Send a call to a path of the store and return its JSON response."""
         if self._client is None:
             self._client = tornado.httpclient.AsyncHTTPClient(
-                force_instance=True, max_clients=MAXIMUM_CALLS
+                force_instance=True, max_clients=MAXIMUM_CONCURRENT_CALLS
             )
         response = await self._client.fetch(
             f"{self.url}{path}",
@@ -113,7 +113,7 @@
             If the store did not accept the connection in time, or the adapter was
             closed.
         """
-        task = asyncio.ensure_future(_follow(self.url, operation))
+        task = asyncio.ensure_future(_watch_changes(self.url, operation))
         self._watches.add(task)
         try:
             return await asyncio.wait_for(
@@ -263,15 +263,15 @@
     """
 
     lines: asyncio.Queue = attrs.field(factory=asyncio.Queue)
-    _rest: bytes = b""
+    _partial_line: bytes = b""
 
     def headers_received(self, start_line, headers) -> None:
         if start_line.code != OK_STATUS:
             self.lines.put_nowait(None)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        *whole, self._rest = (self._rest + chunk).split(b"\n")
-        for line in whole:
+        *complete, self._partial_line = (self._partial_line + chunk).split(b"\n")
+        for line in complete:
             self.lines.put_nowait(line)
 
     def finish(self) -> None:
@@ -281,7 +281,9 @@
         self.lines.put_nowait(None)
 
 
-async def _follow(url: str, operation: platform.Watch) -> platform.Changes | None:
+async def _watch_changes(
+    url: str, operation: platform.Watch
+) -> platform.Changes | None:
     """Open a watch and return its first changes, None if history was compacted."""
     parts = urllib.parse.urlsplit(url)
     client = tornado.tcpclient.TCPClient()
--- a/hyssopshelf/runtime/wire.py
+++ b/hyssopshelf/runtime/wire.py
@@ -10,7 +10,7 @@
 
 CONNECTION_PATH = "/v1/connection"
 CONTROL_PATH = "/v1/control"
-FULL_CLOSE_CODE = 4029
+CONNECTION_LIMIT_CLOSE_CODE = 4029
 """Websocket close code of an endpoint that has reached its connection limit."""
 
 
--- a/hyssopshelf/standins/endpoint.py
+++ b/hyssopshelf/standins/endpoint.py
@@ -165,7 +165,9 @@
         self.requests: asyncio.Queue = asyncio.Queue()
         self.worker = None
         if not self.server.instance.open_connection(self.name):
-            self.close(code=wire.FULL_CLOSE_CODE, reason="no connection left")
+            self.close(
+                code=wire.CONNECTION_LIMIT_CLOSE_CODE, reason="no connection left"
+            )
             return
         await asyncio.sleep(self.server.connect_seconds)
         self.worker = asyncio.ensure_future(self._run_requests())
