--- a/hyssopshelf/runtime/tests/test_hostlist.py
+++ b/hyssopshelf/runtime/tests/test_hostlist.py
@@ -1,4 +1,4 @@
-"""Tests of the host list's adapter against the stand-in, over sockets."""
+"""Tests of the host list adapter against the stand-in host list, over sockets."""
 
 import asyncio
 
@@ -29,7 +29,7 @@
 
 
 def test_rows_survive_the_wire():
-    """Guards against fields lost between the list and a node."""
+    """Guards against fields lost between the host list and a node."""
 
     async def scenario(hosts, adapter):
         hosts.add(HOST, -1.0)
@@ -41,7 +41,7 @@
 
 
 def test_list_that_is_down_is_an_error():
-    """Guards against taking an outage of the list for an empty fleet."""
+    """Guards against an outage of the host list that is read as an empty fleet."""
 
     async def scenario(hosts, adapter):
         hosts.down = True
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize(("now", "names"), [(4.9, []), (5.0, ["h1"]), (12.0, [])])
 def test_list_lags(now, names):
-    """Guards against a stand-in that is fresher than the platform."""
+    """Guards against a stand-in whose entries appear earlier than the platform's."""
     hosts = standins.HostList(lag_seconds=5.0)
     hosts.add(HOST, 0.0)
     hosts.remove("h1", 7.0)
--- a/hyssopshelf/runtime/tests/test_settings.py
+++ b/hyssopshelf/runtime/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the settings of a node."""
+"""Tests of the checks on a node's settings."""
 
 import pytest
 
@@ -37,7 +37,7 @@
     ],
 )
 def test_error_names_the_setting_and_what_is_allowed(name, value, allowed):
-    """Guards against a node that starts with a setting that cannot work."""
+    """Guards against a node that starts with an invalid setting."""
     with pytest.raises(exceptions.SettingError) as error:
         settings.load_settings([], VALID | {f"HYSSOPSHELF_{name}": value})
     flag = "--" + name.lower().replace("_", "-")
@@ -45,13 +45,13 @@
 
 
 def test_unknown_environment_variable_is_refused():
-    """Guards against a misspelt setting that is silently ignored."""
+    """Guards against a misspelt variable that is silently ignored."""
     with pytest.raises(exceptions.SettingError, match="HYSSOPSHELF_PLACES"):
         settings.load_settings([], VALID | {"HYSSOPSHELF_PLACES": "x"})
 
 
 def test_error_does_not_show_a_key():
-    """Guards against token keys in the log of a failed start."""
+    """Guards against token keys in the error message of a failed start."""
     with pytest.raises(exceptions.SettingError) as error:
         settings.load_settings([], VALID | {"HYSSOPSHELF_TOKEN_KEYS": "k1:secret"})
     assert "secret" not in str(error.value)
--- a/hyssopshelf/runtime/tests/test_store.py
+++ b/hyssopshelf/runtime/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the store's adapter against the stand-in, over sockets."""
+"""Tests of the store adapter against the stand-in store, over sockets."""
 
 import asyncio
 import time
@@ -12,7 +12,7 @@
 
 
 def run(scenario):
-    """Run a scenario with a server and an adapter that gives up after 0.3 s."""
+    """Run a scenario with a server and an adapter whose calls time out after 0.3 s."""
 
     async def main():
         server = standins.StoreServer(store=keyvalue.KeyValueStore())
@@ -40,7 +40,7 @@
 
 
 def test_compare_and_swap_reports_the_entry_that_won():
-    """Guards against a lost update and a conflict without the current entry."""
+    """Guards against lost updates and a conflict that does not return its entry."""
 
     async def scenario(server, adapter):
         first = (await adapter.call(swap("a/1", b"\xff\0"))).unwrap()
@@ -59,7 +59,7 @@
 
 
 def test_prefix_lists_its_keys_only():
-    """Guards against a range that ends one key too late or too early."""
+    """Guards against a key range that ends one key too late or too early."""
 
     async def scenario(server, adapter):
         for key in ("a", "a/1", "a/~", "a0", "b"):
@@ -73,7 +73,7 @@
 
 
 def test_watch_wakes_on_a_change_and_counts_once():
-    """Guards against polling, missed changes and changes of other keys."""
+    """Guards against polling, missed changes and changes outside the prefix."""
 
     async def scenario(server, adapter):
         start = (await adapter.call(swap("a/1", b"x"))).unwrap().current.revision
@@ -103,7 +103,7 @@
 
 
 def test_watch_from_lost_history_reads_the_current_values(monkeypatch):
-    """Guards against changes skipped when the store dropped its history."""
+    """Guards against changes skipped after the store compacted its history."""
     monkeypatch.setattr(keyvalue, "HISTORY_LENGTH", 2)
 
     async def scenario(server, adapter):
@@ -117,7 +117,7 @@
 
 
 def test_watch_reports_a_store_that_went_back():
-    """Guards against waiting forever for a revision that no longer exists."""
+    """Guards against waiting forever for a revision that a restore removed."""
 
     async def scenario(server, adapter):
         server.store.snapshots["old"] = server.store.take_snapshot()
@@ -142,7 +142,7 @@
         assert (await adapter.call(platform.Get(key="a/lock"))).unwrap() is not None
         await asyncio.sleep(1.2)
         assert (await adapter.call(platform.Get(key="a/lock"))).unwrap() is None
-        # The lease is over, so that revoking it succeeds and using it does not.
+        # Revoking an expired lease succeeds, while a put with it fails.
         assert (await adapter.call(platform.RevokeLease(lease=lease))).is_ok()
         assert (await adapter.call(swap("a/lock", b"h1", lease=lease))).is_err()
 
@@ -150,7 +150,7 @@
 
 
 def test_revoked_lease_deletes_its_keys():
-    """Guards against a lock that stays after its holder gave it up."""
+    """Guards against a lock that remains after its holder released it."""
 
     async def scenario(server, adapter):
         grant = platform.GrantLease(time_to_live_seconds=60)
@@ -163,7 +163,7 @@
 
 
 def test_lost_answer_is_an_error_though_the_change_took_effect():
-    """Guards against reporting an applied change as refused or repeating it."""
+    """Guards against an applied change that is reported as refused or repeated."""
 
     async def scenario(server, adapter):
         server.set_faults(lost_answers=1)
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("fault", [{"down": True}, {"delay_seconds": 5.0}])
 def test_call_ends_within_its_deadline(fault):
-    """Guards against a node that hangs on a store that is down or slow."""
+    """Guards against a node that hangs when the store is down or slow."""
 
     async def scenario(server, adapter):
         server.set_faults(**fault)
@@ -197,7 +197,7 @@
 
 
 def test_store_that_goes_down_ends_watches():
-    """Guards against a watch that waits at a store which is gone."""
+    """Guards against a watch that keeps waiting after the store went down."""
 
     async def scenario(server, adapter):
         waiting = asyncio.ensure_future(adapter.call(watch(1)))
@@ -209,7 +209,7 @@
 
 
 def test_close_ends_watches():
-    """Guards against a process that cannot stop while a watch waits."""
+    """Guards against a process that cannot stop while a watch is open."""
 
     async def scenario(server, adapter):
         waiting = asyncio.ensure_future(adapter.call(watch(1, wait_seconds=60)))
@@ -221,7 +221,7 @@
 
 
 def test_control_route_sets_faults_over_http():
-    """Guards against a fault switch that tests over processes cannot reach."""
+    """Guards against faults that tests with separate processes cannot set."""
 
     async def scenario(server, adapter):
         await adapter.post("/control/faults", {"snapshot": "old"})
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Tests that the catalogue of log events and the code agree."""
+"""Tests that the catalogue of log events in docs/EVENTS.md matches the code."""
 
 import pathlib
 import re
@@ -10,14 +10,14 @@
 
 
 def test_catalogue_lists_every_event():
-    """Guards against events that operators cannot look up, and stale rows."""
+    """Guards against events missing from the catalogue, and outdated rows."""
     text = (ROOT / "docs" / "EVENTS.md").read_text(encoding="utf-8")
     rows = [(int(number), name) for number, name in ROW.findall(text)]
     assert rows == sorted((int(event), event.name.lower()) for event in logs.LogEvent)
 
 
 def test_every_event_is_used():
-    """Guards against a number that nothing writes any more."""
+    """Guards against events that no code logs any more."""
     code = "".join(
         path.read_text(encoding="utf-8")
         for folder in ("hyssopshelf", "platform")
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,11 +1,15 @@
-"""Runs of the core under faults, and broken cores that the checker must find."""
+"""Simulations of the core under faults, and broken variants that must be detected.
+
+A variant breaks one rule of the core. The checker of the simulation has to report a
+violation of a guarantee for it; otherwise the check would not detect a real fault.
+"""
 
 import pytest
 
 from benchmarks.faults import variants, world
 
 SEEDS = (1, 6, 8, 60)
-"""Seeds that once found a fault of the core; docs/faults.md lists them."""
+"""Seeds that have found faults of the core before; docs/faults.md lists them."""
 
 PROMOTION_FAULTS = (
     "isolate_primary",
@@ -61,12 +65,13 @@
     ),
     "stop_at_once": ((1, 2, 3), 10, 9, ("drain_node", "flood")),
 }
-"""Seeds, seconds, callers and faults for each variant; one seed must find it."""
+"""Seeds, seconds, callers and faults of each variant; one of the seeds must detect
+it."""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_core_keeps_the_guarantees(seed):
-    """Guards against a broken guarantee under all kinds of faults."""
+    """Guards against violations of the guarantees under all kinds of faults."""
     outcome = world.run_seed(
         world.Options(seed=seed, seconds=12.0, settle_seconds=12.0)
     )
@@ -74,7 +79,7 @@
 
 
 def test_same_seed_gives_the_same_run():
-    """Guards against a failure that cannot be replayed."""
+    """Guards against a failure that cannot be reproduced from its seed."""
     options = world.Options(seed=3, seconds=5.0, settle_seconds=2.0)
     first, second = world.run_seed(options), world.run_seed(options)
     assert first.history == second.history
@@ -82,7 +87,7 @@
 
 @pytest.mark.parametrize("name", sorted(variants.VARIANTS))
 def test_checker_finds_a_broken_core(name):
-    """Guards against a check that cannot fail."""
+    """Guards against a checker that does not detect violations."""
     seeds, seconds, callers, faults = CASES[name]
     with variants.apply_variant(name) as variant:
         for seed in seeds:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Integration tests: real processes, real sockets, faults between them."""
+"""Integration tests with real processes, real sockets and faults between them."""
 
 import asyncio
 import signal
@@ -13,12 +13,12 @@
 FAILOVER_BOUND_SECONDS = 17.0
 
 DETECTION_SECONDS = 3.0
-"""The design page gives about 3 s until the endpoints of a dead node are placed
-elsewhere; statements go round it sooner."""
+"""Time until the endpoints of a dead node are placed on other nodes, in seconds; the
+design page gives about 3 s. Statements are routed around the node earlier."""
 
 
 def run(scenario, folder, **options):
-    """Run a scenario with a started fleet."""
+    """Run a scenario with a running fleet; options go to ``Fleet``."""
 
     async def main():
         async with processes.Fleet(folder, **options) as fleet:
@@ -28,7 +28,7 @@
 
 
 async def read_values(fleet, key: str) -> list[str]:
-    """Return the values of a key as a strong read sees them."""
+    """Return the appended values of a key by a strong read."""
     session = fleet.make_session(timeout_seconds=20.0)
     answer = await session.get(
         key, kind="scan", consistency=messages.Consistency.STRONG
@@ -38,7 +38,7 @@
 
 
 def test_roaming_session_reads_its_writes_at_replica_lag(tmp_path):
-    """Guards against a stale read after a session changed its proxy."""
+    """Guards against a stale read after a session moved to another proxy."""
 
     async def scenario(fleet):
         session = fleet.make_session()
@@ -54,7 +54,7 @@
             )
             assert page.value.split(",")[-1] == str(number)
             replica_reads += page.from_replica
-        # A node trusts what it knew of a replica's age for up to a second.
+        # A node uses its last known lag of a replica for up to a second.
         await asyncio.sleep(1.5)
         other = fleet.make_session("h2")
         page = await other.get(
@@ -68,7 +68,7 @@
 
 
 def test_killed_proxy_rolls_back_its_transaction(tmp_path):
-    """Guards against a half transaction that survives the death of its node."""
+    """Guards against a partial transaction that survives a crash of its node."""
 
     async def scenario(fleet):
         session = fleet.make_session("h1")
@@ -148,7 +148,7 @@
 
 
 def test_repeat_with_idempotency_key_runs_once(tmp_path):
-    """Guards against a repeat that adds a second value after a lost answer."""
+    """Guards against a retry that appends a second value after a lost answer."""
 
     async def scenario(fleet):
         session = fleet.make_session(timeout_seconds=1.0)
@@ -169,7 +169,7 @@
 
 
 def test_graceful_stop_cuts_no_request(tmp_path):
-    """Guards against requests that fail because a proxy was asked to stop."""
+    """Guards against requests that fail because a proxy received SIGTERM."""
 
     async def scenario(fleet):
         sessions = [fleet.make_session(seed=number) for number in range(6)]
@@ -201,7 +201,7 @@
 
 
 def test_leaving_endpoint_gets_no_new_work(tmp_path):
-    """Guards against work sent to an endpoint long after it was declared leaving."""
+    """Guards against requests to an endpoint long after it was marked as leaving."""
 
     async def scenario(fleet):
         session = fleet.make_session()
@@ -231,7 +231,7 @@
 
 @pytest.mark.parametrize("fault", ["killed", "partitioned"])
 def test_failover_keeps_acknowledged_writes(tmp_path, fault):
-    """Guards against lost or doubled writes and a long gap in a failover."""
+    """Guards against lost or duplicated writes and a long outage in a failover."""
 
     async def scenario(fleet):
         session = fleet.make_session(timeout_seconds=FAILOVER_BOUND_SECONDS)
