--- a/hyssopshelf/runtime/tests/test_hostlist.py
+++ b/hyssopshelf/runtime/tests/test_hostlist.py
@@ -28,19 +28,19 @@
     asyncio.run(main())
 
 
-def test_rows_survive_the_wire():
+def test_host_entries_arrive_complete():
     """Guards against fields lost between the host list and a node."""
 
     async def scenario(hosts, adapter):
         hosts.add(HOST, -1.0)
         hosts.mark_leaving("h1", -0.5)
-        (row,) = (await adapter.read()).unwrap()
-        assert (row.name, row.region, row.leaving) == ("h1", "r1", True)
+        (entry,) = (await adapter.read()).unwrap()
+        assert (entry.name, entry.region, entry.leaving) == ("h1", "r1", True)
 
     run(scenario)
 
 
-def test_list_that_is_down_is_an_error():
+def test_unavailable_host_list_is_an_error():
     """Guards against an outage of the host list that is read as an empty fleet."""
 
     async def scenario(hosts, adapter):
@@ -51,9 +51,9 @@
 
 
 @pytest.mark.parametrize(("now", "names"), [(4.9, []), (5.0, ["h1"]), (12.0, [])])
-def test_list_lags(now, names):
+def test_stand_in_host_list_lags(now, names):
     """Guards against a stand-in whose entries appear earlier than the platform's."""
     hosts = standins.HostList(lag_seconds=5.0)
     hosts.add(HOST, 0.0)
     hosts.remove("h1", 7.0)
-    assert [row.name for row in hosts.read(now)] == names
+    assert [entry.name for entry in hosts.read(now)] == names
--- a/hyssopshelf/runtime/tests/test_settings.py
+++ b/hyssopshelf/runtime/tests/test_settings.py
@@ -14,7 +14,7 @@
 }
 
 
-def test_flags_go_before_the_environment():
+def test_flags_override_environment_variables():
     """Guards against a flag that is silently ignored."""
     values = settings.load_settings(["--host=h2"], VALID)
     assert (values.host, values.place) == ("h2", "ba-1")
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -16,7 +16,7 @@
     assert rows == sorted((int(event), event.name.lower()) for event in logs.LogEvent)
 
 
-def test_every_event_is_used():
+def test_every_event_is_logged():
     """Guards against events that no code logs any more."""
     code = "".join(
         path.read_text(encoding="utf-8")
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(variants.VARIANTS))
-def test_checker_finds_a_broken_core(name):
+def test_checker_detects_every_variant(name):
     """Guards against a checker that does not detect violations."""
     seeds, seconds, callers, faults = CASES[name]
     with variants.apply_variant(name) as variant:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -147,7 +147,7 @@
     run(scenario, tmp_path)
 
 
-def test_repeat_with_idempotency_key_runs_once(tmp_path):
+def test_retry_with_idempotency_key_runs_once(tmp_path):
     """Guards against a retry that appends a second value after a lost answer."""
 
     async def scenario(fleet):
@@ -168,7 +168,7 @@
     run(scenario, tmp_path)
 
 
-def test_graceful_stop_cuts_no_request(tmp_path):
+def test_graceful_stop_fails_no_request(tmp_path):
     """Guards against requests that fail because a proxy received SIGTERM."""
 
     async def scenario(fleet):
@@ -200,7 +200,7 @@
     run(scenario, tmp_path, nodes=3)
 
 
-def test_leaving_endpoint_gets_no_new_work(tmp_path):
+def test_leaving_endpoint_gets_no_new_requests(tmp_path):
     """Guards against requests to an endpoint long after it was marked as leaving."""
 
     async def scenario(fleet):
