--- a/hyssopshelf/runtime/engine.py
+++ b/hyssopshelf/runtime/engine.py
@@ -1,4 +1,4 @@
-"""Runs a node's core on the tornado loop and carries out its actions."""
+"""Runs a node's core on the tornado event loop and carries out its actions."""
 
 import asyncio
 import functools
@@ -12,17 +12,17 @@
 from hyssopshelf.membership import hosts
 from hyssopshelf.runtime import endpoints, peers
 
-HOST_LIST_SECONDS = 1.0
-"""Time between two reads of the host list by a reader, in seconds."""
+HOST_LIST_INTERVAL_SECONDS = 1.0
+"""Interval at which a reader reads the host list, in seconds."""
 
 HOST_LIST_KEY = "hosts"
-"""Key whose rendezvous order chooses the readers of the host list."""
+"""Key of the rendezvous hashing that selects the readers of the host list."""
 
-_CALLERS = itertools.count()
+_CALLER_NUMBERS = itertools.count()
 
 
 class Engine:
-    """Connects a node's core with its adapters.
+    """Passes events of the adapters to a node's core and runs the core's actions.
 
     Parameters
     ----------
@@ -38,7 +38,7 @@
         self.core = core
         self.store = store
         self.host_list = host_list
-        self.replies: dict[str, object] = {}
+        self.reply_callbacks: dict[str, object] = {}
         identity = core.board.identity
         self.peers = peers.PeerTransport(
             host=identity.host, address=identity.address, emit=self.emit
@@ -46,22 +46,22 @@
         self.endpoints = endpoints.EndpointAdapter(
             emit=self.emit, find_address=self._find_address
         )
-        self._timer = tornado.ioloop.PeriodicCallback(
+        self._tick_timer = tornado.ioloop.PeriodicCallback(
             self._tick, node.TICK_SECONDS * 1000
         )
-        self._list_timer = tornado.ioloop.PeriodicCallback(
-            self._read_hosts, HOST_LIST_SECONDS * 1000
+        self._host_list_timer = tornado.ioloop.PeriodicCallback(
+            self._read_host_list, HOST_LIST_INTERVAL_SECONDS * 1000
         )
         self._stopped = False
         self.failed = False
 
     def start(self) -> None:
-        """Listen for peers and start the timer."""
+        """Listen for peers and start the periodic ticks and host list reads."""
         self.peers.listen()
-        self._timer.start()
+        self._tick_timer.start()
         if self.host_list is not None:
-            self._list_timer.start()
-            tornado.ioloop.IOLoop.current().add_callback(self._read_hosts)
+            self._host_list_timer.start()
+            tornado.ioloop.IOLoop.current().add_callback(self._read_host_list)
         identity = self.core.board.identity
         logs.write(
             logs.LogEvent.PROCESS_STARTED,
@@ -69,14 +69,17 @@
         )
 
     def emit(self, event: base.Event) -> None:
-        """Apply an event to the core and carry out the actions."""
+        """Apply an event to the core and carry out the actions that it returns.
+
+        A violated invariant stops the engine and sets ``failed``.
+        """
         if self._stopped:
             return
         try:
             actions = self.core.handle(event, time.monotonic())
         except exceptions.InvariantError as error:
-            # What the event led to is not carried out: no answer is better than
-            # one that breaks a guarantee.
+            # The actions of the event are dropped: no answer is better than one
+            # that violates a guarantee.
             logs.write(logs.LogEvent.INVARIANT_BROKEN, {"text": str(error)})
             logs.flush()
             self.failed = self._stopped = True
@@ -84,32 +87,32 @@
         for action in actions:
             carry_out(action, self)
 
-    def expect_reply(self, caller: str, receive) -> None:
-        """Pass replies to a caller to the callable ``receive``."""
-        self.replies[caller] = receive
+    def register_caller(self, caller: str, callback) -> None:
+        """Register the callable that receives the replies to a caller."""
+        self.reply_callbacks[caller] = callback
 
     async def submit(self, request) -> object:
         """Pass an operator's request to the core and return its answer."""
-        caller = f"operator-{next(_CALLERS)}"
+        caller = f"operator-{next(_CALLER_NUMBERS)}"
         future = asyncio.get_running_loop().create_future()
-        self.expect_reply(caller, future.set_result)
+        self.register_caller(caller, future.set_result)
         try:
             self.emit(base.ResourceRequested(caller=caller, request=request))
             return await future
         finally:
-            self.replies.pop(caller, None)
+            self.reply_callbacks.pop(caller, None)
 
-    def forget_caller(self, caller: str) -> None:
-        """Forget a caller and cancel its statements."""
-        if self.replies.pop(caller, None) is not None:
+    def remove_caller(self, caller: str) -> None:
+        """Remove a caller; its open statements are cancelled."""
+        if self.reply_callbacks.pop(caller, None) is not None:
             self.emit(base.CallerDisconnected(caller=caller))
 
     def stop(self) -> None:
-        """Pass on what must not be lost, and close all adapters."""
+        """Run the node's last actions, so that no usage is lost, and close adapters."""
         for action in node.prepare_stop(self.core.board, time.monotonic()):
             carry_out(action, self)
-        self._timer.stop()
-        self._list_timer.stop()
+        self._tick_timer.stop()
+        self._host_list_timer.stop()
         self._stopped = True
         self.endpoints.close()
         self.peers.close()
@@ -124,10 +127,11 @@
         self.emit(base.Ticked())
         logs.flush()
 
-    async def _read_hosts(self) -> None:
-        """Read the host list if this node is one of its few readers.
+    async def _read_host_list(self) -> None:
+        """Read the host list if this node is one of its readers.
 
-        A node that knows no other host reads it too, so that it can join.
+        Only a few nodes read it, which bounds the load on the platform. A node that
+        knows no other host reads it too, so that it can join.
         """
         board = self.core.board
         if len(board.hosts) > 1 and not hosts.is_reader(board, HOST_LIST_KEY):
@@ -143,21 +147,22 @@
 
 @functools.singledispatch
 def carry_out(action: base.Action, engine: Engine) -> None:
-    """Carry out an action of the core."""
+    """Carry out an action of the core through the engine's adapters."""
     raise NotImplementedError(type(action).__name__)
 
 
 @carry_out.register
 def _(action: base.Reply, engine: Engine) -> None:
-    receive = engine.replies.get(action.caller)
-    if receive is not None:
-        receive(action.answer)
+    callback = engine.reply_callbacks.get(action.caller)
+    if callback is not None:
+        callback(action.answer)
 
 
 @carry_out.register
 def _(action: base.SendPeer, engine: Engine) -> None:
     record = engine.core.board.hosts.get(action.host)
-    # A joining node knows only the addresses of the host list or its settings.
+    # The host is an address while its name is not known: a joining node knows only
+    # the addresses of the host list or its settings.
     address = record.address if record is not None else action.host
     if ":" not in address:
         event = base.PeerUnsent(host=action.host, message=action.message)
--- a/hyssopshelf/runtime/metrics.py
+++ b/hyssopshelf/runtime/metrics.py
@@ -1,11 +1,11 @@
-"""Metrics of a node in the Prometheus text format."""
+"""Renders the metrics of a node in the Prometheus text format."""
 
 import aioprometheus
 from aioprometheus import renderer
 
 
 def render(engine) -> tuple[bytes, dict]:
-    """Return the body and headers of the metrics page."""
+    """Return the body and headers of a metrics response for an engine."""
     board = engine.core.board
     registry = aioprometheus.Registry()
     events = aioprometheus.Counter(
@@ -16,7 +16,7 @@
     sizes = aioprometheus.Gauge(
         "hyssopshelf_state_entries", "Entries of the node's state", registry=registry
     )
-    for name, section in _find_sections(board).items():
+    for name, section in _get_sections(board).items():
         sizes.set({"section": name}, len(section))
     waiting = aioprometheus.Gauge(
         "hyssopshelf_queue_waiting", "Statements that wait", registry=registry
@@ -40,7 +40,7 @@
     return renderer.render(registry, ["text/plain"])
 
 
-def _find_sections(board) -> dict:
+def _get_sections(board) -> dict:
     return {
         "hosts": board.hosts,
         "endpoints": board.endpoints,
--- a/hyssopshelf/runtime/resources.py
+++ b/hyssopshelf/runtime/resources.py
@@ -1,8 +1,8 @@
 """HTTP handlers of the resource API.
 
-The handlers turn HTTP requests into the typed requests of
-``configuration.requests`` and pass them to a callable
-``submit(request) -> awaitable answer``.
+The handlers parse HTTP requests into the types of ``configuration.requests`` and pass
+them to a callable ``submit(request) -> awaitable answer``, so that they depend neither
+on the engine nor on the core.
 """
 
 import collections
@@ -13,24 +13,24 @@
 from hyssopshelf import exceptions
 from hyssopshelf.configuration import declarations, documents, requests, resources
 
-DEFAULT_SECONDS = 5.0
-"""Time for a request that does not name one."""
+DEFAULT_TIME_LIMIT_SECONDS = 5.0
+"""Default time limit of a request, in seconds."""
 
-MAXIMUM_SECONDS = 60.0
+MAXIMUM_TIME_LIMIT_SECONDS = 60.0
 
 MAXIMUM_CHANGE_ID_CHARACTERS = 64
 
 Submit = Callable[[requests.ApiRequest], Awaitable[requests.ApiAnswer]]
 
 
-def describe_answer(answer: requests.ApiAnswer) -> dict:
+def make_body(answer: requests.ApiAnswer) -> dict:
     """Return the JSON body of an answer."""
     if answer.error is None:
         return answer.body
     return answer.body | {"error": answer.error.value, "message": answer.message}
 
 
-def find_status(answer: requests.ApiAnswer) -> int:
+def get_http_status(answer: requests.ApiAnswer) -> int:
     """Return the HTTP status of an answer."""
     if answer.error is None:
         return 200
@@ -38,14 +38,14 @@
 
 
 class ResourceBaseHandler(tornado.web.RequestHandler):
-    """Common parts of the handlers."""
+    """Parses parameters and bodies and writes answers, for all handlers of the API."""
 
     def initialize(self, submit: Submit) -> None:
         """Store the callable that passes requests to the node."""
         self.submit = submit
 
     def write_error(self, status_code: int, **kwargs) -> None:
-        """Answer errors as JSON; a validation error names its field."""
+        """Write an error as JSON; a validation error names its field and rule."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if isinstance(error, exceptions.ValidationError):
             answer = requests.ApiAnswer(
@@ -62,41 +62,60 @@
         self.finish({"error": kind.value, "message": self._reason})
 
     def log_exception(self, typ, value, tb) -> None:
-        """Leave validation errors out of the log; they are answers."""
+        """Log an exception, except validation errors, which only go to the client."""
         if not isinstance(value, exceptions.ValidationError):
             super().log_exception(typ, value, tb)
 
     def answer(self, answer: requests.ApiAnswer) -> None:
-        """Send an answer."""
-        self.set_status(find_status(answer))
-        self.finish(describe_answer(answer))
+        """Write an answer and its HTTP status."""
+        self.set_status(get_http_status(answer))
+        self.finish(make_body(answer))
 
-    async def pass_on(self, request: requests.ApiRequest) -> None:
-        """Pass a request to the node and send its answer."""
+    async def submit_request(self, request: requests.ApiRequest) -> None:
+        """Pass a request to the node and write its answer."""
         self.answer(await self.submit(request))
 
-    def read_seconds(self) -> float:
-        """Return the time that the caller gives."""
-        text = self.get_query_argument("seconds", str(DEFAULT_SECONDS))
+    def read_time_limit(self) -> float:
+        """Return the time limit of the request, in seconds.
+
+        Raises
+        ------
+        ValidationError
+            If it is not a number, not positive or above the maximum.
+        """
+        text = self.get_query_argument("seconds", str(DEFAULT_TIME_LIMIT_SECONDS))
         try:
             seconds = float(text)
         except ValueError:
             seconds = 0.0
-        if not 0 < seconds <= MAXIMUM_SECONDS:
+        if not 0 < seconds <= MAXIMUM_TIME_LIMIT_SECONDS:
             raise exceptions.ValidationError(
-                "seconds", f"must be more than 0 and at most {MAXIMUM_SECONDS:g}"
+                "seconds",
+                f"must be more than 0 and at most {MAXIMUM_TIME_LIMIT_SECONDS:g}",
             )
         return seconds
 
-    def read_number(self, name: str) -> int:
-        """Return a whole number of the query, 0 if it is not given."""
+    def read_integer(self, name: str) -> int:
+        """Return a whole number of the query, 0 if it is not given.
+
+        Raises
+        ------
+        ValidationError
+            If it has other characters than digits.
+        """
         text = self.get_query_argument(name, "0")
         if not text.isdecimal():
             raise exceptions.ValidationError(name, "must be a whole number, 0 or more")
         return int(text)
 
     def read_change_id(self, value: object) -> str:
-        """Return a checked change id."""
+        """Return a change id after checking its type and length.
+
+        Raises
+        ------
+        ValidationError
+            If it is not a string, empty or too long.
+        """
         declarations.check_string(value, "changeId")
         if not 0 < len(value) <= MAXIMUM_CHANGE_ID_CHARACTERS:
             raise exceptions.ValidationError(
@@ -105,7 +124,13 @@
         return value
 
     def read_body(self, allowed: set[str], required: set[str]) -> dict:
-        """Return the JSON body, a mapping with known fields."""
+        """Return the JSON body, a mapping without unknown or missing fields.
+
+        Raises
+        ------
+        ValidationError
+            If the body is too long, is malformed or has other fields.
+        """
         if len(self.request.body) > declarations.MAXIMUM_TEXT_BYTES:
             raise exceptions.ValidationError(
                 "body", f"exceeds {declarations.MAXIMUM_TEXT_BYTES} bytes"
@@ -119,8 +144,14 @@
         return body
 
 
-def find_kind(text: str) -> resources.ResourceKind:
-    """Return a kind by its name, in any case."""
+def parse_kind(text: str) -> resources.ResourceKind:
+    """Return the resource kind with a name; letter case is ignored.
+
+    Raises
+    ------
+    ValidationError
+        If no kind has the name.
+    """
     for kind in resources.ResourceKind:
         if kind.value.lower() == text.lower():
             return kind
@@ -131,7 +162,7 @@
 def group_by_pool(
     declared: tuple[resources.Resource, ...],
 ) -> dict[str, tuple[resources.Resource, ...]]:
-    """Return declared resources by pool; each pool is one change."""
+    """Return declared resources by pool; each pool is changed on its own."""
     groups = collections.defaultdict(list)
     for item in declared:
         groups[item.pool].append(item)
@@ -139,33 +170,35 @@
 
 
 class PoolHandler(ResourceBaseHandler):
-    """All resources of a pool, or the list of pools."""
+    """Reads or deletes a pool, or lists the versions of all pools."""
 
     async def get(self, pool: str = "") -> None:
-        """Read the resources of a pool, or the versions of all pools."""
+        """Write the resources of a pool, or the versions of all pools."""
         kind = self.get_query_argument("kind", "")
-        await self.pass_on(
-            requests.List(pool=pool, kind=find_kind(kind) if kind else None)
+        await self.submit_request(
+            requests.List(pool=pool, kind=parse_kind(kind) if kind else None)
         )
 
     async def delete(self, pool: str = "") -> None:
         """Delete a whole pool."""
-        await self.pass_on(
+        await self.submit_request(
             requests.Delete(
                 pool=pool,
                 change_id=self.read_change_id(self.get_query_argument("changeId", "")),
-                base_version=self.read_number("baseVersion"),
-                remaining_seconds=self.read_seconds(),
+                base_version=self.read_integer("baseVersion"),
+                remaining_seconds=self.read_time_limit(),
             )
         )
 
 
 class ResourceHandler(ResourceBaseHandler):
-    """One resource."""
+    """Reads, replaces or deletes one resource."""
 
     async def get(self, pool: str, kind: str, name: str) -> None:
-        """Read the resource."""
-        await self.pass_on(requests.Get(pool=pool, kind=find_kind(kind), name=name))
+        """Write the resource."""
+        await self.submit_request(
+            requests.Get(pool=pool, kind=parse_kind(kind), name=name)
+        )
 
     async def post(self, pool: str, kind: str, name: str) -> None:
         """Create or replace the resource."""
@@ -174,62 +207,64 @@
         resource = declarations.parse_resource(plain)
         if (resource.pool, resource.kind, resource.name) != (
             pool,
-            find_kind(kind),
+            parse_kind(kind),
             name,
         ):
-            raise exceptions.ValidationError("metadata", "differs from the path")
-        await self.pass_on(
+            raise exceptions.ValidationError(
+                "metadata", "pool, kind and name must match the path"
+            )
+        await self.submit_request(
             requests.Apply(
                 pool=pool,
                 change_id=self.read_change_id(self.get_query_argument("changeId", "")),
                 resources=(resource,),
-                base_version=self.read_number("baseVersion"),
-                remaining_seconds=self.read_seconds(),
+                base_version=self.read_integer("baseVersion"),
+                remaining_seconds=self.read_time_limit(),
             )
         )
 
     async def delete(self, pool: str, kind: str, name: str) -> None:
         """Delete the resource."""
         reference = documents.Reference(
-            kind=find_kind(kind),
+            kind=parse_kind(kind),
             name=name,
-            resource_version=self.read_number("resourceVersion"),
+            resource_version=self.read_integer("resourceVersion"),
         )
-        await self.pass_on(
+        await self.submit_request(
             requests.Delete(
                 pool=pool,
                 change_id=self.read_change_id(self.get_query_argument("changeId", "")),
                 references=(reference,),
-                base_version=self.read_number("baseVersion"),
-                remaining_seconds=self.read_seconds(),
+                base_version=self.read_integer("baseVersion"),
+                remaining_seconds=self.read_time_limit(),
             )
         )
 
 
-class ManyHandler(ResourceBaseHandler):
-    """Requests about resources of one or several pools."""
+class MultiplePoolsHandler(ResourceBaseHandler):
+    """Submits one request for each pool that the body names."""
 
-    async def answer_all(self, all_requests: list[requests.ApiRequest]) -> None:
-        """Pass on a request for each pool and answer with all results.
+    async def submit_all(self, all_requests: list[requests.ApiRequest]) -> None:
+        """Submit the requests in order and write all results.
 
-        The status is that of the first error; the results tell for each pool
-        what happened, since pools are changed independently of each other.
+        Pools are changed independently of each other, so each has its own result.
+        The HTTP status is that of the first error.
         """
         answers = [await self.submit(request) for request in all_requests]
         failed = [answer for answer in answers if answer.error is not None]
-        self.set_status(find_status(failed[0]) if failed else 200)
+        self.set_status(get_http_status(failed[0]) if failed else 200)
         results = [
-            {"pool": request.pool} | describe_answer(answer)
+            {"pool": request.pool} | make_body(answer)
             for request, answer in zip(all_requests, answers, strict=True)
         ]
         self.finish({"results": results})
 
 
-class ApplyHandler(ManyHandler):
+class ApplyHandler(MultiplePoolsHandler):
     """Creates or replaces resources."""
 
     async def post(self) -> None:
-        """Apply the resources of each pool together."""
+        """Apply the resources of each pool as one change."""
         body = self.read_body(
             {"changeId", "resources", "baseVersion"}, {"changeId", "resources"}
         )
@@ -240,10 +275,10 @@
         groups = group_by_pool(declarations.parse_resources([body["resources"]]))
         if base_version and len(groups) > 1:
             raise exceptions.ValidationError(
-                "baseVersion", "is of one pool; the resources are of several"
+                "baseVersion", "is allowed only if all resources are of one pool"
             )
-        seconds = self.read_seconds()
-        await self.answer_all(
+        seconds = self.read_time_limit()
+        await self.submit_all(
             [
                 requests.Apply(
                     pool=pool,
@@ -257,14 +292,14 @@
         )
 
 
-class DiffHandler(ManyHandler):
-    """Compares declared resources with those in force."""
+class DiffHandler(MultiplePoolsHandler):
+    """Compares declared resources with the configuration in force."""
 
     async def post(self) -> None:
-        """Answer the differences of each pool."""
+        """Write the differences of each pool."""
         body = self.read_body({"resources"}, {"resources"})
         groups = group_by_pool(declarations.parse_resources([body["resources"]]))
-        await self.answer_all(
+        await self.submit_all(
             [
                 requests.Diff(pool=pool, resources=items)
                 for pool, items in groups.items()
@@ -273,47 +308,47 @@
 
 
 class WatchHandler(ResourceBaseHandler):
-    """Waits for a new version."""
+    """Waits for a new version of a pool's configuration."""
 
     async def get(self) -> None:
-        """Answer when a version above ``afterVersion`` is in force here."""
-        await self.pass_on(
+        """Answer once a version above ``afterVersion`` is in force at this node."""
+        await self.submit_request(
             requests.Watch(
                 pool=self.get_query_argument("pool"),
-                after_version=self.read_number("afterVersion"),
-                remaining_seconds=self.read_seconds(),
+                after_version=self.read_integer("afterVersion"),
+                remaining_seconds=self.read_time_limit(),
             )
         )
 
 
 class StatusHandler(ResourceBaseHandler):
-    """Tells on how many nodes a version is in force."""
+    """Reports on how many nodes a version is in force."""
 
     async def get(self) -> None:
-        """Ask all nodes."""
-        await self.pass_on(
+        """Query all nodes and write their counts."""
+        await self.submit_request(
             requests.Status(
                 pool=self.get_query_argument("pool"),
-                version=self.read_number("version"),
-                remaining_seconds=self.read_seconds(),
+                version=self.read_integer("version"),
+                remaining_seconds=self.read_time_limit(),
             )
         )
 
 
 class BillHandler(ResourceBaseHandler):
-    """Tells the slot time that was used."""
+    """Reports the slot time that a pool has used."""
 
     async def get(self) -> None:
-        """Answer the account of a pool."""
-        await self.pass_on(requests.Bill(pool=self.get_query_argument("pool")))
+        """Write the bill of a pool."""
+        await self.submit_request(requests.Bill(pool=self.get_query_argument("pool")))
 
 
 class DrainHandler(ResourceBaseHandler):
     """Stops the node gracefully."""
 
     async def post(self) -> None:
-        """Start the drain."""
-        await self.pass_on(requests.Drain())
+        """Start draining; the process exits when idle or at the drain deadline."""
+        await self.submit_request(requests.Drain())
 
 
 def make_handlers(submit: Submit) -> list[tuple]:
