--- a/hyssopshelf/failover/leases.py
+++ b/hyssopshelf/failover/leases.py
@@ -17,7 +17,7 @@
 """Time before the earliest promotion at which its lease is requested."""
 
 LEASE_SECONDS = 3.0
-"""Time to live of the lease, in case its holder dies."""
+"""Time to live of the lease; a dead holder blocks other promoters no longer."""
 
 BLOCK_SECONDS = 1.0
 """Time for which the lease of another node blocks promotions of this node.
@@ -40,7 +40,7 @@
 
 @attrs.define(kw_only=True)
 class Lease:
-    """A lease that this node requested, and whether another node holds the promotion.
+    """A lease that this node requested, or the block by the lease of another node.
 
     Attributes
     ----------
--- a/hyssopshelf/failover/pending_confirmations.py
+++ b/hyssopshelf/failover/pending_confirmations.py
@@ -39,7 +39,7 @@
         Id of the served request.
     position : Position
         Term in which the request ran and the log index it wrote or read.
-    filed_at : float
+    requested_at : float
         Time at which the endpoint's answer was received.
     deadline : float
         Time at which the request is abandoned.
