--- a/hyssopshelf/runtime/daemon.py
+++ b/hyssopshelf/runtime/daemon.py
@@ -15,10 +15,10 @@
 EXIT_SETTINGS = 2
 """Exit status for an invalid setting."""
 
-EXIT_DRAIN = 3
+EXIT_DRAIN_TIMEOUT = 3
 """Exit status when statements or transactions were left at the drain deadline."""
 
-EXIT_INVARIANT = 4
+EXIT_INVARIANT_VIOLATED = 4
 """Exit status after a violated invariant."""
 
 STOP_CHECK_INTERVAL_SECONDS = 0.05
@@ -91,11 +91,11 @@
         await asyncio.sleep(STOP_CHECK_INTERVAL_SECONDS)
     drained = await drain(engine, loop.time() + values.drain_seconds)
     if engine.failed:
-        return EXIT_INVARIANT
+        return EXIT_INVARIANT_VIOLATED
     http.stop()
     engine.stop()
     await http.close_all_connections()
-    return 0 if drained else EXIT_DRAIN
+    return 0 if drained else EXIT_DRAIN_TIMEOUT
 
 
 async def drain(engine: engines.Engine, deadline: float) -> bool:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -132,8 +132,8 @@
                 front.faults.answers_dropped = True
             with pytest.raises(exceptions.AnswerError) as error:
                 await session.append("lost", str(number), kind="scan")
-            ran = error.value.disposition.ran is exceptions.Ran.UNKNOWN
-            (unknown if ran else not_run).append(str(number))
+            may_have_run = error.value.disposition.ran is exceptions.Ran.UNKNOWN
+            (unknown if may_have_run else not_run).append(str(number))
             for front in fleet.fronts.values():
                 front.disconnect()
                 front.clear_faults()
