--- a/hyssopshelf/runtime/resources.py
+++ b/hyssopshelf/runtime/resources.py
@@ -203,8 +203,8 @@
     async def post(self, pool: str, kind: str, name: str) -> None:
         """Create or replace the resource."""
         fields = {"kind", "metadata", "spec"}
-        plain = self.read_body(fields | {"status"}, fields)
-        resource = declarations.parse_resource(plain)
+        body = self.read_body(fields | {"status"}, fields)
+        resource = declarations.parse_resource(body)
         if (resource.pool, resource.kind, resource.name) != (
             pool,
             parse_kind(kind),
