--- a/benchmarks/faults/callers.py
+++ b/benchmarks/faults/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep sessions, repeat only what they may, and record everything."""
+"""Simulated callers: sessions, permitted retries and a record of each request."""
 
 import itertools
 import random
@@ -10,13 +10,13 @@
 from hyssopshelf import base, exceptions, messages
 
 ANSWER_GRACE_SECONDS = 0.5
-"""Time after the deadline for which a caller waits before it moves on."""
+"""Time a caller waits for an answer after the deadline of a statement."""
 
 REPEATS = 3
-"""Number of times that a caller repeats a write with an idempotency key."""
+"""Maximum number of retries of a write."""
 
 SESSION_REQUESTS = 40
-"""Requests after which a caller starts a new session."""
+"""Number of steps (reads, writes, transactions) in one session of a caller."""
 
 Operation = messages.Operation
 Consistency = messages.Consistency
@@ -25,7 +25,7 @@
 
 @attrs.frozen(kw_only=True)
 class Kind:
-    """A declared kind of work, as far as the callers and checks need it."""
+    """The properties of a kind of work that callers and checks use."""
 
     name: str
     staleness_seconds: float
@@ -34,14 +34,14 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Caller:
-    """A caller with one statement in flight at a time.
+    """A caller that sends one statement at a time.
 
     Attributes
     ----------
     think_seconds : float
-        Greatest pause between two statements.
+        Longest pause between two steps.
     stop_at : float
-        No statement is sent after this time.
+        Time after which no new step and no retry begins.
     """
 
     name: str
@@ -73,7 +73,7 @@
         return self.around.network
 
     def start(self) -> None:
-        """Begin to send statements."""
+        """Start sending statements."""
         self._script = self._run()
         self._loop.call_later(self.random.uniform(0.0, 0.5), self._continue, None)
 
@@ -87,7 +87,7 @@
         self._continue(None)
 
     def _continue(self, value) -> None:
-        """Run the script until it waits for time or for an answer."""
+        """Resume the script until it yields a delay or a statement to send."""
         try:
             wait = self._script.send(value)
         except StopIteration:
@@ -98,7 +98,7 @@
         else:
             self._send(wait)
 
-    # Behaviour.
+    # Workload.
 
     def _run(self) -> Generator:
         while self._loop.now < self.stop_at:
@@ -195,7 +195,7 @@
         consistency: messages.Consistency = Consistency.SESSION,
         **fields,
     ) -> Generator:
-        """Send a statement and wait for its answer; return its record."""
+        """Send a statement, wait for its answer and return the record of both."""
         forged = bool(self._token) and self.random.random() < 0.01
         database = database or self.random.choice(self.databases)
         request = histories.Request(
@@ -333,7 +333,9 @@
             earlier.answers += 1
             return
         if request is None:
-            self.around.history.crashes.append(f"stray answer {answer.id}")
+            self.around.history.crashes.append(
+                f"answer {answer.id} without a waiting request"
+            )
             return
         request.answers += 1
         request.answered_id = answer.id
@@ -347,7 +349,7 @@
         self._continue(request)
 
     def _give_up(self, request: histories.Request | None) -> None:
-        """Stop waiting: the outcome of the request is unknown."""
+        """Stop waiting for an answer; the outcome of the request is unknown."""
         if request is None or self._waiting is not request:
             return
         self._waiting = None
@@ -355,7 +357,7 @@
 
 
 def _forge(token: str) -> str:
-    """Return a token with one changed character."""
+    """Return the token with its middle character changed."""
     middle = len(token) // 2
     other = "A" if token[middle] != "A" else "B"
     return token[:middle] + other + token[middle + 1 :]
--- a/benchmarks/faults/nodes.py
+++ b/benchmarks/faults/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes of a run: the real core behind fake adapters, with pauses and deaths."""
+"""Simulated node processes, which run the real core with fake adapters."""
 
 import random
 import traceback
@@ -11,33 +11,33 @@
 from hyssopshelf.membership import hosts
 
 OPEN_SECONDS = 0.010
-"""Time that an endpoint takes to open a connection."""
+"""Time an endpoint takes to accept a connection."""
 
 CALL_TIMEOUT_SECONDS = 1.0
-"""Time after which a status probe, control call or opening has failed."""
+"""Timeout of a status probe, a control call and of opening a connection."""
 
 HOST_LIST_SECONDS = 1.0
-"""Period at which a node reads the host list if it is one of its readers."""
+"""Period at which the nodes chosen as readers read the host list."""
 
 HOST_LIST_KEY = "hosts"
-"""Key whose rendezvous order chooses the readers of the host list."""
+"""Key of the rendezvous hash that chooses the readers of the host list."""
 
 REPLACE_SECONDS = 2.0
-"""Time after which a drained process is replaced by a new one."""
+"""Time between the exit of a drained process and the start of the next."""
 
 TOKEN_KEYS = (("k1", b"secret of the fault run"),)
 
 
 @attrs.define(kw_only=True)
 class Surroundings:
-    """What the adapters of all nodes talk to.
+    """Everything the fake adapters of the nodes communicate with.
 
     Attributes
     ----------
     replies : dict of str to callable
-        Takes an answer for the connection of a caller.
+        Receives the answers for each caller connection.
     trace : callable
-        Takes the name of a party and a line of text.
+        Receives the name of a party and a line of text.
     """
 
     loop: clocks.EventLoop
@@ -58,9 +58,9 @@
     Attributes
     ----------
     prepare : callable
-        Called with a new core before its first event.
+        Called with the process before the first event of a new core.
     in_flight : dict of str to str
-        Caller's connection of each statement that waits for its answer.
+        Caller connection of each unanswered statement, by statement id.
     """
 
     host: str
@@ -83,10 +83,10 @@
     _channels: dict[str, tuple] = attrs.field(factory=dict)
     _versions: dict[str, int] = attrs.field(factory=dict)
 
-    # Life.
+    # Process lifecycle.
 
     def start(self) -> None:
-        """Start the process with a new incarnation and no state."""
+        """Start the process with the next incarnation and an empty state."""
         self.incarnation += 1
         self.alive = True
         self.paused = self.stopping = False
@@ -106,7 +106,7 @@
         self._schedule(0.0, self._read_host_list)
 
     def kill(self) -> None:
-        """End the process at once; its connections break."""
+        """Terminate the process at once and break its connections."""
         self.alive = False
         self.incarnation += 1
         self.paused = False
@@ -122,11 +122,11 @@
             call()
 
     def pause(self) -> None:
-        """Stop the process without its knowledge; what arrives waits."""
+        """Suspend the process; events that arrive are deferred until ``resume``."""
         self.paused = True
 
     def resume(self) -> None:
-        """Continue after a pause, with the timer first or last."""
+        """Handle the deferred events, with a timer event first or last."""
         if not self.paused:
             return
         self.paused = False
@@ -136,14 +136,14 @@
             self.handle(event)
 
     def drain(self) -> None:
-        """Ask for a graceful stop; the process ends when the core is idle."""
+        """Request a graceful stop; the process exits when the core is idle."""
         if not self.alive:
             return
         self.stopping = True
         self.handle(base.DrainRequested())
 
     def break_connections(self, endpoint: str) -> None:
-        """Break the data connections to an endpoint, as a lost route does."""
+        """Break the data connections to an endpoint, as a network failure does."""
         for connection, other in list(self._connections.values()):
             if other.name == endpoint:
                 self._connections.pop(connection.id, None)
@@ -153,7 +153,7 @@
                 self.handle(base.ConnectionClosed(connection=connection.id))
 
     def handle(self, event: base.Event) -> None:
-        """Pass an event to the core and carry out its actions."""
+        """Pass an event to the core and perform the actions it returns."""
         if not self.alive:
             return
         if self.paused:
@@ -189,12 +189,12 @@
             in_flight=tuple(self.in_flight),
         )
         self.around.history.stopped.append(stopped)
-        # The answers that were just sent reach the callers before the close.
+        # Answers sent just now must reach the callers before the process exits.
         self.stopping = False
         self._schedule(0.05, self._replace)
 
     def _replace(self) -> None:
-        """End a drained process; the platform starts another one later."""
+        """Terminate a drained process; the platform starts a new one later."""
         self.kill()
         self.around.loop.call_later(REPLACE_SECONDS, self._start_if_dead)
 
@@ -228,7 +228,7 @@
             self.around.host_list.read(self.host, receive)
 
     def _in_this_life(self, call: Callable) -> Callable:
-        """Return a callback that does nothing after the process ended."""
+        """Wrap a callback to do nothing once this incarnation has ended."""
         incarnation = self.incarnation
 
         def run(*arguments) -> None:
@@ -251,8 +251,6 @@
                     )
                 )
 
-    # Actions.
-
     def _carry_out(self, action: base.Action) -> None:
         match action:
             case base.Reply():
@@ -364,7 +362,7 @@
         connection: endpoints.DataConnection,
         endpoint: endpoints.FakeEndpoint,
     ) -> None:
-        # The endpoint closes after an opening that may still be under way there.
+        # The close must reach the endpoint after an accept still in progress.
         connection.down.close()
         connection.receive = connection.report_closed = _ignore
         connection.up.send(
@@ -406,7 +404,7 @@
         )
 
     def _call_endpoint(self, name: str, call: Callable, report: Callable) -> None:
-        """Call an endpoint's control interface; report None without an answer."""
+        """Call an endpoint's control interface; report None on timeout."""
         endpoint = self.around.endpoints[name]
         if name not in self._channels:
             net = self.around.network
@@ -465,8 +463,6 @@
         )
         self.around.store.call(self.host, action.operation, receive)
 
-    # Trace.
-
     def _trace(self, text: str) -> None:
         if self.around.trace is not None:
             self.around.trace(self.host, text)
@@ -484,7 +480,7 @@
 
 
 def list_host_entries(nodes: dict[str, NodeProcess]) -> tuple:
-    """Return the rows that the platform lists for the live nodes."""
+    """Return the platform's host list entries of the running nodes."""
     return tuple(
         platform.HostEntry(
             name=process.host,
@@ -499,4 +495,4 @@
 
 
 def _ignore(*arguments) -> None:
-    """Take an answer on a connection that the node closed."""
+    """Discard an answer on a connection that the node has closed."""
--- a/benchmarks/faults/world.py
+++ b/benchmarks/faults/world.py
@@ -1,4 +1,7 @@
-"""One run: a fleet of real cores among fakes, callers, faults and the checks."""
+"""Simulation of a fleet of real cores with fake adapters, load and faults.
+
+The recorded history is checked at the end of the run.
+"""
 
 import random
 from collections.abc import Callable
@@ -31,19 +34,19 @@
 SLOTS = 3
 
 RATE_SPREAD = 0.05
-"""Clocks run between 1 - spread and 1 + spread seconds a second."""
+"""Largest deviation of a clock's rate from 1, in seconds per second."""
 
 START_SECONDS = 3.0
-"""Time without faults at the start of a run."""
+"""Length of the fault-free start of a run."""
 
 QUIET_SECONDS = 6.0
-"""Time after the load in which all replicas catch up."""
+"""Time after the end of the load in which the replicas catch up."""
 
 SAMPLE_SECONDS = 0.1
 """Period at which the reachability of nodes is sampled."""
 
 JOIN_SECONDS = 4.0
-"""Time after a start in which a node is not yet expected to take part."""
+"""Time after its start in which a node counts as unreachable."""
 
 KINDS = (
     callers.Kind(name="order", staleness_seconds=0.5, acknowledge="majority"),
@@ -54,16 +57,16 @@
 
 @attrs.frozen(kw_only=True)
 class Options:
-    """What a run does.
+    """Parameters of a run.
 
     Attributes
     ----------
     seconds : float
-        Virtual time with faults.
+        Virtual time during which faults are injected.
     hosts, callers : int
-        Size of the fleet and of the load.
+        Number of nodes and of callers.
     kinds : tuple of callers.Kind
-        Kinds of work, most urgent first.
+        Kinds of work in descending priority.
     apply_delay_seconds : float
         Time between the arrival of an entry at a replica and its visibility.
     """
@@ -81,7 +84,7 @@
 
 @attrs.frozen(kw_only=True)
 class Outcome:
-    """What a run found."""
+    """Result of a run."""
 
     violations: list[cases.Violation]
     history: histories.History
@@ -91,7 +94,7 @@
 
 
 def make_document(kinds: tuple[callers.Kind, ...] = KINDS) -> resources.Document:
-    """Return the first document of the pool."""
+    """Return the initial configuration document of the pool."""
     specs = {
         (resources.ResourceKind.POOL, POOL): resources.PoolSpec(
             databases=tuple(
@@ -148,7 +151,7 @@
 
 
 class World:
-    """A fleet on a virtual clock."""
+    """Runs a fleet on a virtual clock and checks its history."""
 
     def __init__(self, options: Options) -> None:
         self.options = options
@@ -190,7 +193,7 @@
         )
 
     def run(self) -> Outcome:
-        """Run to the end and check the history."""
+        """Inject faults under load, let the fleet settle and check the history."""
         self.start()
         end_of_faults = START_SECONDS + self.options.seconds
         self.injector.run(START_SECONDS, end_of_faults)
@@ -201,7 +204,7 @@
         return self.finish()
 
     def start(self) -> None:
-        """Start all processes and the load."""
+        """Write the configuration and start all processes and callers."""
         data = declarations.encode_document(make_document(self.options.kinds))
         self.around.store.write(documents.key_of(POOL), data)
         self._publish_hosts()
@@ -212,13 +215,13 @@
         self._sample()
 
     def finish(self) -> Outcome:
-        """Let the fleet become quiet, see whether it serves, and check."""
+        """Stop the load, verify that the fleet takes writes and check the history."""
         for caller in self.callers:
             caller.stop_at = min(caller.stop_at, self.loop.now)
         self.loop.run_until(self.loop.now + QUIET_SECONDS)
         self._probe_service()
         self.history.stalled.extend(
-            f"{host} drains without end"
+            f"{host} has not finished draining"
             for host, process in self.around.nodes.items()
             if process.stopping
         )
@@ -291,7 +294,7 @@
             )
 
     def _prepare(self, process: nodes.NodeProcess) -> None:
-        """Give a new core what its settings tell: itself and two hosts to join."""
+        """Add the hosts a core knows from its settings: itself and two to join."""
         board = process.core.board
         others = [name for name in self.around.nodes if name != process.host]
         for name in process.random.sample(others, 2):
@@ -317,7 +320,7 @@
             around=self.around,
         )
 
-    # Course of the run.
+    # Steps of a run.
 
     def _flood(self, seconds: float) -> None:
         for number in range(20):
@@ -332,7 +335,7 @@
         self.loop.call_later(1.0, self._publish_hosts)
 
     def _sample(self) -> None:
-        """Record which nodes can take part."""
+        """Record which nodes are reachable, every ``SAMPLE_SECONDS``."""
         alive = [process for process in self.around.nodes.values() if process.alive]
         everyone = True
         for process in self.around.nodes.values():
@@ -341,8 +344,8 @@
             self._set_reachable(process.host, reachable)
         platform = self.around.store
         well = not (platform.down or platform.slow_seconds or platform.lost_rate)
-        # Without the store a change that only its committer knows is lost to
-        # the others until the committer or the store is back.
+        # While the store is unavailable, a change known only to the node that
+        # committed it reaches the others when that node or the store is back.
         for host in () if well or everyone else self.around.nodes:
             self._set_reachable(host, False)
         self.loop.call_later(SAMPLE_SECONDS, self._sample)
@@ -374,7 +377,7 @@
             )
 
     def _probe_service(self) -> None:
-        """Write to each database until it takes a write, for a limited time."""
+        """Retry a write to each database until it succeeds, for at most 20 s."""
         missing = set(DATABASES)
         for _ in range(20):
             for name in sorted(missing):
@@ -413,5 +416,5 @@
 
 
 def run_seed(options: Options) -> Outcome:
-    """Run one seed."""
+    """Run one simulation with the given options."""
     return World(options).run()
