--- a/benchmarks/faults/endpoints.py
+++ b/benchmarks/faults/endpoints.py
@@ -1,4 +1,8 @@
-"""Endpoints of a run: the pure stand-in behind connections, with a log journal."""
+"""Simulated database endpoints.
+
+The stand-in database is reached over simulated connections, and each execution,
+log entry and promotion is recorded in the history.
+"""
 
 import random
 from collections import deque
@@ -15,17 +19,17 @@
 """Period at which a replica fetches from its primary."""
 
 BROKEN_SECONDS = 10.0
-"""Time after which an endpoint closes a connection whose other side is cut off."""
+"""Keepalive timeout of a connection whose node is gone or cut off."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class DataConnection:
-    """A connection of a node to an endpoint.
+    """A data connection of a node to an endpoint.
 
     Attributes
     ----------
     receive : callable
-        Takes (request id, answer) on the node's side.
+        Receives (request id, answer) on the node's side.
     report_closed : callable
         Called on the node's side when the endpoint closes the connection.
     """
@@ -44,7 +48,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class FakeEndpoint:
-    """An endpoint with its own clock; it can be paused, killed and made to lag."""
+    """An endpoint with its own clock; it can be paused, killed or made to lag."""
 
     name: str
     loop: clocks.EventLoop
@@ -69,11 +73,11 @@
 
     @property
     def is_primary(self) -> bool:
-        """Return whether the endpoint believes to be the primary."""
+        """Return whether the endpoint's own role is primary."""
         return self.instance.role is messages.Role.PRIMARY
 
     def run(self, step: Callable[[], None]) -> None:
-        """Run a step of the process now, or after its pause; not if it is dead."""
+        """Run a step now, or on ``resume`` if paused; do nothing if killed."""
         if self.dead:
             return
         if self.paused:
@@ -82,7 +86,7 @@
             step()
 
     def run_later(self, delay: float, step: Callable[[], None]) -> None:
-        """Run a step after a delay unless the process ended in between."""
+        """Run a step after a delay unless the process was killed in between."""
         life = self._life
 
         def run_in_same_life() -> None:
@@ -92,18 +96,18 @@
         self.loop.call_later(delay, run_in_same_life)
 
     def pause(self) -> None:
-        """Stop the process; what arrives waits."""
+        """Suspend the process; steps are deferred until ``resume``."""
         self.paused = True
 
     def resume(self) -> None:
-        """Continue after a pause."""
+        """Run the deferred steps and continue."""
         self.paused = False
         held, self._held = self._held, []
         for step in held:
             self.run(step)
 
     def kill(self) -> None:
-        """End the process; its connections break and its log stays."""
+        """Terminate the process and break its connections; its log persists."""
         self.dead = True
         self.paused = False
         self._life += 1
@@ -116,12 +120,12 @@
             connection.down.send(connection.report_closed)
 
     def restart(self) -> None:
-        """Start the process again with the log that it had."""
+        """Start the process again with its persisted log."""
         self.dead = False
         self.start()
 
     def start(self) -> None:
-        """Start the replication."""
+        """Start the periodic replication fetch."""
         self.run_later(self.random.uniform(0.0, FETCH_SECONDS), self._fetch)
 
     # Data connections.
@@ -140,7 +144,7 @@
         request: messages.EndpointRequest,
         sent_at: float,
     ) -> None:
-        """Take a request from a connection; requests run one at a time."""
+        """Queue a request; the requests of a connection run one at a time."""
         if connection.id not in self.connections:
             return
         overlapped = connection.unanswered > 0
@@ -149,11 +153,11 @@
         self._run_next(connection)
 
     def close(self, connection: DataConnection) -> None:
-        """Handle a close from the node's side."""
+        """Close a connection at the request of the node."""
         self._drop(connection)
 
     def watch_broken(self, connection: DataConnection) -> None:
-        """Close a connection whose node is gone, at the latest by keepalive."""
+        """Close a connection whose node is gone when its keepalive expires."""
         self.run_later(BROKEN_SECONDS, lambda: self._drop(connection))
 
     def _drop(self, connection: DataConnection) -> None:
@@ -218,7 +222,7 @@
         return answer
 
     def _record_entries(self, start: int) -> None:
-        """Write the entries after an index to the journal."""
+        """Record the log entries after an index in the history."""
         for index in range(start + 1, self.instance.position + 1):
             self._record_entry(index)
 
@@ -243,11 +247,11 @@
     # Control interface.
 
     def report_status(self) -> messages.EndpointStatus:
-        """Return the status of the instance."""
+        """Return the status of the database instance."""
         return self.instance.report_status(self.clock.read())
 
     def control(self, operation: object) -> messages.ControlAnswer:
-        """Carry out a control operation."""
+        """Perform a control operation: fence, follow or promote."""
         now = self.clock.read()
         if isinstance(operation, messages.Fence):
             return self.instance.fence(operation, now)
@@ -291,4 +295,4 @@
 
 
 def _skip() -> None:
-    """Ignore a fetch that was not sent; the next one follows soon."""
+    """Ignore a fetch that could not be sent; the next one follows."""
--- a/benchmarks/faults/network.py
+++ b/benchmarks/faults/network.py
@@ -1,8 +1,8 @@
-"""The network between the parties of a run, with cuts, delays and doubled messages.
+"""Simulated network with partitions, delays, loss and duplicated messages.
 
 A party is the name of a host, an endpoint, a caller, the store or the host
-list. Two services are offered: single messages, as nodes exchange them, and
-ordered channels, as websockets provide them.
+list. Nodes exchange single messages; data and control connections use ordered
+channels, as websockets provide them.
 """
 
 import random
@@ -14,22 +14,23 @@
 from benchmarks.faults import clocks
 
 UNSENT_SECONDS = 1.0
-"""Send timeout between nodes: a message that cannot be sent is reported then."""
+"""Timeout after which a node may learn that a message could not be sent."""
 
 RESEND_SECONDS = 0.2
-"""Period at which a channel tries to pass a cut again."""
+"""Period at which a channel retries delivery over a cut link."""
 
 
 @attrs.define(kw_only=True)
 class Network:
-    """Delivers between parties with a delay for each link.
+    """Delivers messages between parties with a delay that depends on the link.
 
     Attributes
     ----------
     places : dict of str to str
-        Place of each party; parties without one are at the caller's distance.
+        Place of each party. Links of a party without a place have the delay
+        ``caller_seconds``.
     late_rate, doubled_rate, lost_rate : float
-        Parts of the messages between nodes that come late, twice or never.
+        Fractions of the single messages that are delayed, duplicated or lost.
     """
 
     loop: clocks.EventLoop
@@ -45,15 +46,15 @@
     _cuts: Counter = attrs.field(factory=Counter, init=False)
 
     def cut(self, sender: str, receiver: str) -> None:
-        """Stop delivery in one direction; cuts of the same link add up."""
+        """Stop delivery in one direction; cuts of a link are counted."""
         self._cuts[sender, receiver] += 1
 
     def heal(self, sender: str, receiver: str) -> None:
-        """Take back one cut."""
+        """Remove one cut of a link."""
         self._cuts[sender, receiver] -= 1
 
     def is_cut(self, sender: str, receiver: str) -> bool:
-        """Return whether nothing passes in a direction."""
+        """Return whether delivery in one direction is cut."""
         return self._cuts[sender, receiver] > 0
 
     def connects(self, first: str, second: str) -> bool:
@@ -76,7 +77,10 @@
         deliver: Callable[[], None],
         report_unsent: Callable[[], None],
     ) -> None:
-        """Send a single message: it may come late, twice, never or unsent."""
+        """Send a single message.
+
+        It may be delayed, duplicated, lost or reported as unsent.
+        """
         if self.is_cut(sender, receiver):
             if self.random.random() < 0.5:
                 self.loop.call_later(UNSENT_SECONDS, report_unsent)
@@ -98,10 +102,10 @@
 
 @attrs.define(kw_only=True)
 class Channel:
-    """One direction of an ordered connection; a cut holds data back.
+    """One direction of an ordered connection.
 
-    A transport repeats lost packets, so that data sent before or during a cut
-    arrives after it, in order, unless the channel is closed before.
+    As a transport retransmits lost packets, data sent before or during a cut is
+    delivered in order after the cut, unless the channel is closed first.
     """
 
     network: Network
@@ -113,7 +117,7 @@
     _resending: bool = attrs.field(default=False, init=False)
 
     def send(self, deliver: Callable[[], None]) -> None:
-        """Deliver after everything that was sent before."""
+        """Deliver after everything sent earlier on this channel."""
         loop = self.network.loop
         delay = self.network.draw_delay(self.sender, self.receiver)
         self._ready_at = max(self._ready_at, loop.now + delay)
@@ -121,7 +125,7 @@
         loop.call_at(self._ready_at, self._pump)
 
     def close(self) -> None:
-        """Drop what has not been delivered."""
+        """Close the channel and discard what has not been delivered."""
         self.closed = True
         self._waiting.clear()
 
--- a/benchmarks/faults/store.py
+++ b/benchmarks/faults/store.py
@@ -1,4 +1,4 @@
-"""The platform of a run: a key-value store with faults and a lagging host list."""
+"""Simulated platform: a key-value store with faults and a delayed host list."""
 
 import random
 from collections.abc import Callable
@@ -11,30 +11,30 @@
 from hyssopshelf.configuration import declarations, resources
 
 NAME = "store"
-"""Party name of the store in the network."""
+"""Name of the store as a party of the network."""
 
 HOST_LIST_NAME = "hostlist"
-"""Party name of the host list in the network."""
+"""Name of the host list as a party of the network."""
 
 CALL_SECONDS = 0.002
-"""Time that the store takes for a call when it is well."""
+"""Service time of a call without a fault."""
 
 TIMEOUT_SECONDS = 2.0
-"""Time after which a call without an answer has an unknown outcome."""
+"""Timeout after which the outcome of an unanswered call is unknown."""
 
 
 @attrs.define(kw_only=True)
 class FakeStore:
-    """Keys with revisions, leases and waiting watches.
+    """A key-value store with revisions, leases and watches.
 
     Attributes
     ----------
     down : bool
-        Calls are neither carried out nor answered.
+        Calls are neither executed nor answered.
     slow_seconds : float
         Time added to each call.
     lost_rate : float
-        Part of the answers that are lost after the call took effect.
+        Fraction of the answers that are lost after the call took effect.
     """
 
     loop: clocks.EventLoop
@@ -52,7 +52,7 @@
     _watches: list = attrs.field(factory=list)
 
     def call(self, host: str, operation, answer: Callable) -> None:
-        """Carry out a call of a host; ``answer`` takes a ``result.Result``."""
+        """Execute a call of a host; ``answer`` receives a ``result.Result``."""
         done = False
 
         def finish(value) -> None:
@@ -81,7 +81,7 @@
         self.loop.call_later(wait, finish, result.Err("no answer in time"))
 
     def write(self, key: str, value: bytes, lease: int = 0) -> platform.Entry:
-        """Write a key and wake the watches on it."""
+        """Write a key and answer the watches that wait for it."""
         self.revision += 1
         entry = platform.Entry(key=key, value=value, revision=self.revision)
         self.entries[key] = entry
@@ -178,12 +178,12 @@
 
 @attrs.define(kw_only=True)
 class FakeHostList:
-    """The platform's host list, which tells a state that is some seconds old.
+    """The platform's host list, which is served with a delay.
 
     Attributes
     ----------
     lag_seconds : float
-        Age of the state that readers get.
+        Age of the list that readers receive.
     """
 
     loop: clocks.EventLoop
@@ -192,11 +192,11 @@
     _versions: list[tuple[float, tuple]] = attrs.field(factory=list)
 
     def publish(self, hosts: tuple[platform.HostEntry, ...]) -> None:
-        """Change the list."""
+        """Replace the list; readers see it after ``lag_seconds``."""
         self._versions.append((self.loop.now, hosts))
 
     def read(self, host: str, answer: Callable[[tuple], None]) -> None:
-        """Answer a host with the list; nothing comes over a cut link."""
+        """Send the list to a host; there is no answer over a cut link."""
         if not self.network.connects(host, HOST_LIST_NAME):
             return
         seen = self._versions[0][1]
