--- a/benchmarks/faults/fleet.py
+++ b/benchmarks/faults/fleet.py
@@ -1,4 +1,4 @@
-"""Checks of the fleet: leaving endpoints, drains, configuration, recovery."""
+"""Checks of leaving endpoints, drains, configuration changes and recovery."""
 
 from collections import defaultdict
 from collections.abc import Iterator
@@ -7,16 +7,19 @@
 from hyssopshelf import exceptions, messages
 
 LEAVING_SECONDS = 3.0
-"""Time after which a leaving endpoint gets no new work."""
+"""Time after which a node sends no new work to a leaving endpoint."""
 
 CONFIGURATION_SECONDS = 7.0
-"""Time in which an accepted configuration is in force on reachable nodes."""
+"""Time by which reachable nodes use an accepted configuration."""
 
 Operation = messages.Operation
 
 
 def check_leaving(case: cases.Case) -> Iterator[cases.Violation]:
-    """A leaving endpoint gets no new work 3 s after a node knows it leaves."""
+    """Check that a node sends a leaving endpoint no new work after 3 s.
+
+    The time counts from the moment the node knows that the endpoint leaves.
+    """
     leaving_of = {
         (change.pool, change.version): change.leaving
         for change in case.history.accepted
@@ -57,7 +60,7 @@
 
 
 def _find_leaving_since(changes: list[tuple[float, bool]], time: float) -> float | None:
-    """Return since when an endpoint has been leaving without a break."""
+    """Return since when an endpoint has been leaving without interruption."""
     since = None
     for at, leaving in changes:
         if at > time:
@@ -70,7 +73,7 @@
 
 
 def check_drains(case: cases.Case) -> Iterator[cases.Violation]:
-    """A drained node ends with no request in flight."""
+    """Check that a drained node exits with no request in flight."""
     for stop in case.history.stopped:
         if stop.in_flight:
             yield cases.Violation(
@@ -83,7 +86,7 @@
 
 
 def check_configuration(case: cases.Case) -> Iterator[cases.Violation]:
-    """An accepted configuration is in force in time and is never reverted."""
+    """Check that an accepted configuration is used in time and never reverted."""
     timelines: dict[tuple[str, str], list[tuple[float, int]]] = defaultdict(list)
     highest: dict[tuple[str, int, str], int] = {}
     for record in case.history.in_force:
@@ -134,7 +137,11 @@
 
 
 def check_changes(case: cases.Case) -> Iterator[cases.Violation]:
-    """An operator's change is accepted once if and only if he was told so."""
+    """Check operator changes against the accepted configurations.
+
+    No change is accepted twice, an acknowledged one is accepted unless it altered
+    nothing, a rejected one is not, and no version drops an accepted change.
+    """
     first_held: dict[str, list[float]] = defaultdict(list)
     previous: dict[str, tuple[str, ...]] = {}
     for accepted in case.history.accepted:
@@ -157,7 +164,7 @@
 
 
 def _was_in_force(case: cases.Case, change: histories.Change) -> bool:
-    """Return whether a change that altered nothing described an accepted state."""
+    """Return whether some accepted configuration already had the changed state."""
     if change.leaving is None:
         return False
     endpoint, leaving = change.leaving
@@ -192,7 +199,7 @@
 
 
 def check_run(case: cases.Case) -> Iterator[cases.Violation]:
-    """The core raised nothing and every database serves again at the end."""
+    """Check that the core raised no exception and every database recovered."""
     for name in case.history.stalled:
         yield cases.Violation(
             guarantee=0, rule="no_recovery", subject=name, at=case.history.end
--- a/benchmarks/faults/histories.py
+++ b/benchmarks/faults/histories.py
@@ -1,4 +1,7 @@
-"""Records that the fakes write and the checker reads. Times are true times."""
+"""Records written by the simulation and read by the checker.
+
+All times are virtual time in seconds, not readings of a skewed clock.
+"""
 
 import re
 import zlib
@@ -11,13 +14,16 @@
 
 
 def make_value(database: str, key: str, label: str) -> str:
-    """Return a value that names the write that made it, with a checksum."""
+    """Return a value that identifies its write, with a checksum."""
     body = f"{database}|{key}|{label}"
     return f"<{body}|{zlib.crc32(body.encode()):08x}>"
 
 
 def parse_value(database: str, key: str, value: str) -> list[str] | None:
-    """Return the labels of the writes in a value, None if it is not whole."""
+    """Return the labels of the writes in a value, None if it is not intact.
+
+    A value is not intact either if it was written for another database or key.
+    """
     labels = []
     for item in value.split(","):
         match = _ITEM.fullmatch(item)
@@ -39,17 +45,17 @@
     Attributes
     ----------
     session : str
-        Session that the statement belongs to; a session is sequential.
+        Session of the statement; the statements of a session are sequential.
     label : str
-        Name of the write, shared by repeats with one idempotency key.
+        Identifier of the write, shared by its retries.
     transaction : str
-        Caller's name of the transaction, empty outside one.
+        Caller's identifier of the transaction, empty outside one.
     had_token, forged : bool
-        Whether a session token was sent, and whether it was a forged one.
+        Whether a session token was sent, and whether it was forged.
     answered_at : float or None
-        Time at which the caller received the answer, None if none came.
+        Time at which the caller received the answer, None without one.
     answers : int
-        Number of answers that came.
+        Number of answers received.
     """
 
     id: str
@@ -79,7 +85,7 @@
 
     @property
     def succeeded(self) -> bool:
-        """Return whether the caller was told that the statement succeeded."""
+        """Return whether the caller received a success answer."""
         return self.answered_at is not None and self.error is None
 
 
@@ -105,14 +111,14 @@
 
 @attrs.frozen(kw_only=True)
 class Execution:
-    """A request that an endpoint took from a connection.
+    """A request that an endpoint executed for a connection.
 
     Attributes
     ----------
     overlapped : bool
         An earlier request on the connection had not been answered yet.
     sent_at : float
-        Time at which the node issued it.
+        Time at which the node sent it.
     """
 
     endpoint: str
@@ -130,7 +136,7 @@
 
 @attrs.frozen(kw_only=True)
 class Promotion:
-    """A promotion that an endpoint carried out."""
+    """A promotion of an endpoint to primary."""
 
     database: str
     endpoint: str
@@ -165,8 +171,8 @@
     Attributes
     ----------
     leaving : (str, bool) or None
-        Endpoint and whether it leaves, if that is the change. Such a change
-        may alter nothing.
+        Endpoint and whether it leaves, for a change of that kind, which may
+        alter nothing.
     """
 
     id: str
@@ -178,7 +184,7 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigurationInForce:
-    """The version that a node uses from a time on."""
+    """The configuration version that a node uses from a time on."""
 
     host: str
     incarnation: int
@@ -189,10 +195,10 @@
 
 @attrs.frozen(kw_only=True)
 class Unreachable:
-    """A span of time in which a node could not take part.
+    """A span of time in which a node could not receive configuration in time.
 
-    The node was dead, starting, paused, or cut from the store and from half
-    of its peers or more.
+    The node was down, starting, paused, draining, or cut off from half of its
+    peers or more, or the store was impaired while any node was unreachable.
     """
 
     host: str
@@ -202,7 +208,7 @@
 
 @attrs.frozen(kw_only=True)
 class Stopped:
-    """A drained node that ended; ``in_flight`` are the requests it left."""
+    """The exit of a drained node; ``in_flight`` lists unanswered statements."""
 
     host: str
     at: float
@@ -211,20 +217,23 @@
 
 @attrs.define(kw_only=True)
 class History:
-    """Everything that one run recorded.
+    """All records of one run.
 
     Attributes
     ----------
     acknowledged_at : dict of str to float
-        Time at which the entry node sent a success answer, by statement id.
+        Time at which the entry node first sent a success answer, by
+        statement id.
     survivors : dict of str to Position or None
         Last entry of the surviving log of each database.
     stalled : list of str
-        Databases that took no write after all faults had ended.
+        Databases that accepted no write, and nodes still draining, after all
+        faults had ended.
     crashes : list of str
-        Exceptions that the core raised.
+        Exceptions that the core raised and answers that no request awaited.
     slowest_rate : float
-        Rate of the slowest clock; a duration on it is longer in true time.
+        Lower limit of the rates of the clocks. A duration measured on a slow
+        clock is longer in virtual time.
     """
 
     requests: list[Request] = attrs.field(factory=list)
--- a/benchmarks/faults/operators.py
+++ b/benchmarks/faults/operators.py
@@ -1,4 +1,4 @@
-"""Operators who edit the split and take endpoints out of service, often at once."""
+"""Simulated operators that change the configuration, often concurrently."""
 
 import itertools
 import random
@@ -11,17 +11,17 @@
 from hyssopshelf.configuration import declarations, documents, requests, resources
 
 ATTEMPTS = 5
-"""Number of times that an operator sends one change."""
+"""Maximum number of attempts to send one change."""
 
 WAIT_SECONDS = 5.5
-"""Time that an operator waits for an answer."""
+"""Time an operator waits for an answer."""
 
 RETRY_SECONDS = 1.0
 
 
 @attrs.define(kw_only=True)
 class Operators:
-    """Operators of one pool; each change keeps its id when it is repeated."""
+    """Operators of one pool; a change keeps its id when it is retried."""
 
     pool: str
     partners: tuple[str, ...]
@@ -30,9 +30,9 @@
     _numbers: itertools.count = attrs.field(factory=itertools.count, init=False)
 
     def edit(self) -> None:
-        """Let two or three operators change the split at the same time."""
+        """Let two or three operators change the split concurrently."""
         for _ in range(self.random.randint(2, 3)):
-            # Equal shares would make the second edit one that alters nothing.
+            # With equal shares the second edit would alter nothing.
             share = self.random.uniform(0.1, 0.9)
             shares = dict(zip(self.partners, (share, 1.0 - share), strict=True))
             spec = resources.SplitSpec(capacity=shares, bill=shares)
@@ -46,7 +46,7 @@
             )
 
     def set_leaving(self, endpoint: str, leaving: bool) -> None:
-        """Declare that an endpoint leaves or stays."""
+        """Declare an endpoint as leaving, or as not leaving."""
         _, database, name = endpoint.split("/")
 
         def make_spec(old: resources.PoolSpec) -> resources.PoolSpec:
@@ -89,7 +89,7 @@
         self._send(change, resource, ATTEMPTS)
 
     def _read(self, kind: resources.ResourceKind, name: str) -> resources.Resource:
-        """Return a resource as the operator's working copy has it."""
+        """Return a resource from the stored document, as the operator read it."""
         entry = self.around.store.entries[documents.key_of(self.pool)]
         document = declarations.decode_document(entry.value)
         return next(
@@ -140,7 +140,7 @@
 
 
 def _may_repeat(answer: requests.ApiAnswer | None) -> bool:
-    """Return whether a change is sent again after an answer or none."""
+    """Return whether a change may be retried after an answer or a timeout."""
     if answer is None:
         return True
     if answer.error is None:
--- a/benchmarks/faults/plan.py
+++ b/benchmarks/faults/plan.py
@@ -1,4 +1,4 @@
-"""The faults of a run: what may happen, when, and how it ends."""
+"""Fault injection: the kinds of faults, their random schedule and their end."""
 
 import random
 from collections.abc import Callable
@@ -11,10 +11,10 @@
 """Mean time between two faults."""
 
 OVERRUN_SECONDS = 14.0
-"""Longest time by which a fault outlasts the end of the faults."""
+"""Longest time a fault may continue after the end of the fault schedule."""
 
 REPEAT_RATE = 0.25
-"""Part of the faults that are followed at once by the same kind again."""
+"""Fraction of the faults that are scheduled twice, less than 1 s apart."""
 
 
 FAULTS = (
@@ -43,7 +43,7 @@
     "edit",
     "leave",
 )
-"""Names of the faults; those that are named twice are drawn twice as often."""
+"""Names of the faults; one listed twice is drawn twice as often."""
 
 
 @attrs.define(kw_only=True)
@@ -55,11 +55,11 @@
     only : tuple of str
         Names of the faults to choose from, empty for all.
     flood : callable
-        Starts a flood of a duration in seconds.
+        Starts a burst of load; takes its duration in seconds.
     edit : callable
-        Makes operators edit the split at the same time.
+        Makes several operators edit the split at the same time.
     leave : callable
-        Declares an endpoint as leaving or not.
+        Takes the name of an endpoint and whether to declare it as leaving.
     """
 
     around: nodes.Surroundings
@@ -72,10 +72,10 @@
     counts: dict[str, int] = attrs.field(factory=dict)
 
     def run(self, start: float, end: float) -> None:
-        """Schedule faults between two times.
+        """Schedule random faults between two times.
 
-        All end by ``end`` but those that take a fixed time, which end within
-        ``OVERRUN_SECONDS`` after it.
+        Faults end by ``end``, except those of a fixed duration, which end at
+        most ``OVERRUN_SECONDS`` later.
         """
         names = [name for name in FAULTS if not self.only or name in self.only]
         time = start
@@ -90,7 +90,7 @@
                 self.around.loop.call_at(begin, self._start, name, end)
 
     def begin(self, name: str, seconds: float) -> None:
-        """Start a fault of a name that ends after a time."""
+        """Start the named fault and schedule its end after ``seconds``."""
         self.counts[name] = self.counts.get(name, 0) + 1
         undo = getattr(self, f"_{name}")(seconds)
         if undo is not None:
@@ -155,7 +155,7 @@
         return self._cut_groups({self.random.choice(parties)}, set(parties), seconds)
 
     def _isolate_primary(self, seconds: float) -> Callable:
-        """Cut a primary from its peers; some hosts still reach it."""
+        """Cut a primary from its replicas and from a random subset of the hosts."""
         primary = self._choose_primary()
         others = {name for name in primary.peers if name != primary.name}
         hosts = sorted(self.around.nodes)
@@ -166,15 +166,15 @@
     def _pause_server(self, seconds: float) -> None:
         """Cut a primary from its replicas and pause the node that serves it.
 
-        The replicas' silence leads to a change of primary during the pause, so
-        that the node resumes with answers from before the change.
+        The cut leads to a failover during the pause, so that the node resumes
+        with answers from before the failover.
         """
         primary = self._choose_primary()
         others = {name for name in primary.peers if name != primary.name}
         hosts = [connection.host for connection in primary.connections.values()]
         server = max(sorted(set(hosts)), key=hosts.count) if hosts else ""
         if self.random.random() < 0.5:
-            # The promoter cannot fence the primary then, but it is still served.
+            # The promoting node then cannot fence the primary, which is still used.
             others.update(name for name in self.around.nodes if name != server)
         heal = self._cut_groups({primary.name}, others, 9.0)
         self.around.loop.call_later(9.0, heal)
@@ -204,7 +204,7 @@
         return self._cut_groups(inner, set(self._list_parties()), seconds)
 
     def _disturb_messages(self, seconds: float) -> Callable:
-        self._trace("messages are late, doubled, reordered and lost")
+        self._trace("messages are delayed, duplicated, reordered and lost")
         net = self.around.network
         net.late_rate, net.doubled_rate, net.lost_rate = 0.2, 0.2, 0.03
 
