--- a/benchmarks/faults/checker.py
+++ b/benchmarks/faults/checker.py
@@ -1,7 +1,7 @@
-"""Checks of a recorded history against the databases' own logs.
+"""Checks of a recorded history against the logs of the databases.
 
-The checker knows nothing of the program under test. It takes what callers
-sent and were told, and what the databases executed, and returns violations.
+The checker is independent of the program under test. It compares the requests
+and answers that callers recorded with what the databases executed.
 """
 
 from benchmarks.faults import cases, fleet, freshness, histories, isolation, outcomes
@@ -23,11 +23,11 @@
     fleet.check_changes,
     fleet.check_run,
 )
-"""All checks; each takes a case and yields violations."""
+"""All checks; each takes a ``cases.Case`` and yields violations."""
 
 
 def check_history(history: histories.History) -> list[cases.Violation]:
-    """Return all violations in a history, in the order of time."""
+    """Return all violations in a history, ordered by time."""
     case = cases.build_case(history)
     found = [violation for check in CHECKS for violation in check(case)]
     return sorted(found, key=lambda violation: violation.at)
--- a/benchmarks/faults/freshness.py
+++ b/benchmarks/faults/freshness.py
@@ -1,4 +1,4 @@
-"""Checks of reads: sessions, staleness bounds and strong reads."""
+"""Checks of session guarantees, staleness bounds and strong reads."""
 
 import bisect
 from collections import defaultdict
@@ -11,12 +11,12 @@
 
 
 def check_sessions(case: cases.Case) -> Iterator[cases.Violation]:
-    """A session reads its writes and never goes back, on any node.
+    """Check read-your-writes and monotonic reads of each session.
 
-    The floors of a session are the entries that it wrote or saw. They lie on
-    one branch of the log unless a change of primary discarded one of them and
-    the session wrote again before it was told. No log holds all of them then,
-    so every later read has to be refused.
+    The floors of a session are the entries that it wrote or saw. They lie on one
+    branch of the log unless a failover discarded one of them and the session
+    wrote again before it learned of that. No log then contains all floors, so
+    every later read has to be refused.
     """
     floors: dict[tuple[str, str], list[Position]] = defaultdict(list)
     for request in sorted(case.history.requests, key=lambda r: r.invoked_at):
@@ -45,17 +45,17 @@
 def _is_seen(
     tree: logtree.LogTree, key: str, entry: Position | None, floor: Position
 ) -> bool:
-    """Return whether a log that holds ``floor`` may end with ``entry`` for a key."""
+    """Return whether ``entry`` may be a key's last write in a log with ``floor``."""
     if entry is not None and tree.contains(entry, floor):
         return True
     return entry == tree.find_last_write(key, floor)
 
 
 def _find_written(case: cases.Case, request: histories.Request) -> list[Position]:
-    """Return the entries that an acknowledged write may have made.
+    """Return the entries that an acknowledged write may have appended.
 
-    A repeat with an idempotency key may have an entry on a discarded branch and
-    one on a later branch. With majority acknowledgement it is the surviving one.
+    A retry with an idempotency key may have one entry on a discarded branch and
+    one on a later branch. With majority acknowledgement the surviving one counts.
     """
     tree = case.find_tree(request.database)
     labels = case.find_labels(request)
@@ -71,8 +71,8 @@
 ) -> None:
     """Add the entry that a session wrote or saw to its floors.
 
-    Nothing is added if several entries may be the one, as it is not known then
-    on which branch the session is.
+    Nothing is added if there are several candidates, as the branch that the
+    session observed is then unknown.
     """
     entry = entries[0] if len(set(entries)) == 1 else None
     if entry is None or any(tree.contains(floor, entry) for floor in held):
@@ -82,7 +82,7 @@
 
 
 def check_bounded_reads(case: cases.Case) -> Iterator[cases.Violation]:
-    """A bounded read sees every surviving write older than its bound."""
+    """Check that bounded reads see all surviving writes older than the bound."""
     for request in case.history.requests:
         bounded = request.consistency is messages.Consistency.BOUNDED
         if not (cases.is_plain_read(request) and bounded):
@@ -96,7 +96,7 @@
 def _find_missing(
     case: cases.Case, request: histories.Request, before: float
 ) -> Position | None:
-    """Return a surviving write before a time that a read did not see."""
+    """Return a surviving write from before a time that a read missed."""
     tree = case.find_tree(request.database)
     survivor = case.history.survivors.get(request.database)
     writes = tree.find_writes(request.key, survivor)
@@ -121,11 +121,11 @@
     write: Position,
     candidates: list[Position | None],
 ) -> bool:
-    """Return whether a read ran in a term that had discarded a write.
+    """Return whether a read may have run in a term that discarded a write.
 
-    The term must have been the latest one at a time between ``since`` and the
-    answer. Such a write was not acknowledged by a majority before, which
-    ``check_acknowledgements`` verifies, and a later term brought it back.
+    The term must have been the latest at some time between ``since`` and the
+    answer. The write survives because a later term started from a log with it.
+    ``check_acknowledgements`` verifies that no majority had acknowledged it.
     """
     tree = case.find_tree(request.database)
     return any(
@@ -137,7 +137,7 @@
 
 
 def check_strong_reads(case: cases.Case) -> Iterator[cases.Violation]:
-    """A strong read sees every write acknowledged before it began."""
+    """Check that strong reads see all writes acknowledged before they began."""
     acknowledged = _find_acknowledged(case)
     for request in case.history.requests:
         strong = request.consistency is messages.Consistency.STRONG
@@ -163,7 +163,10 @@
 def _find_acknowledged(
     case: cases.Case,
 ) -> dict[tuple[str, str], list[tuple[float, Position]]]:
-    """Return the surviving acknowledged writes of each key with their times."""
+    """Return the surviving acknowledged writes of each key.
+
+    Each is a pair of the time of the answer and the position of the entry.
+    """
     found = defaultdict(list)
     for request in case.history.requests:
         if not (request.succeeded and cases.is_write(request)):
--- a/benchmarks/faults/isolation.py
+++ b/benchmarks/faults/isolation.py
@@ -1,4 +1,4 @@
-"""Checks of transactions: whole entries, and one owner for each connection."""
+"""Checks of transaction atomicity and of the exclusive use of connections."""
 
 from collections.abc import Iterator
 
@@ -9,7 +9,7 @@
 
 
 def check_transactions(case: cases.Case) -> Iterator[cases.Violation]:
-    """An entry holds the writes of one transaction, and all of them."""
+    """Check that a log entry holds exactly the writes of one transaction."""
     for entry in case.history.entries:
         owners = {
             request.transaction
@@ -52,7 +52,7 @@
 
 
 def check_connections(case: cases.Case) -> Iterator[cases.Violation]:
-    """A connection serves one transaction at a time and one request at once."""
+    """Check that a connection serves one transaction and one request at a time."""
     owners = {
         request.label: request.transaction
         for request in case.history.requests
--- a/benchmarks/faults/outcomes.py
+++ b/benchmarks/faults/outcomes.py
@@ -1,4 +1,4 @@
-"""Checks of answers against the log: wholeness, not run, at most once, kept."""
+"""Checks of answers, at-most-once execution, durability and terms."""
 
 from collections.abc import Iterator
 
@@ -10,7 +10,10 @@
 
 
 def check_answers(case: cases.Case) -> Iterator[cases.Violation]:
-    """Each answer belongs to its request, comes once and is whole."""
+    """Check that each request has at most one answer, its own and intact.
+
+    Forged session tokens must be rejected and genuine ones accepted.
+    """
     for request in case.history.requests:
         if request.answers > 1:
             yield cases.blame(4, "answered_twice", request)
@@ -57,7 +60,7 @@
 
 
 def check_not_run(case: cases.Case) -> Iterator[cases.Violation]:
-    """A write that was answered as not run has no entry in any log."""
+    """Check that a write reported as not run has no entry in any log."""
     for request in case.history.requests:
         if request.error is None or not cases.denies(request):
             continue
@@ -86,7 +89,7 @@
     request: histories.Request,
     attempts: list[histories.Request],
 ) -> bool:
-    """Return whether another attempt of the same write may have made an entry."""
+    """Return whether another attempt of the write may have appended an entry."""
     return entry.executed_at < request.invoked_at or any(
         other is not request
         and other.invoked_at <= entry.executed_at
@@ -96,7 +99,10 @@
 
 
 def check_at_most_once(case: cases.Case) -> Iterator[cases.Violation]:
-    """A write has one entry, or one entry a branch if it has a key."""
+    """Check that a write has at most one entry.
+
+    With an idempotency key it may have one entry on each branch of the log.
+    """
     for label, requests in case.by_label.items():
         request = requests[0]
         tree = case.find_tree(request.database)
@@ -117,7 +123,7 @@
 
 
 def check_acknowledgements(case: cases.Case) -> Iterator[cases.Violation]:
-    """An acknowledged write is in the log that its mode promises."""
+    """Check that an acknowledged write is in every log that its mode requires."""
     for request in case.history.requests:
         if not (request.succeeded and cases.is_write(request)):
             continue
@@ -143,7 +149,7 @@
 def _find_lacking_terms(
     case: cases.Case, request: histories.Request, positions: list[Position]
 ) -> list[int]:
-    """Return the terms since an acknowledgement whose log lacks the write."""
+    """Return the terms since the acknowledgement whose log lacks the write."""
     at = case.history.acknowledged_at.get(request.id, request.answered_at)
     tree = case.find_tree(request.database)
     return [
@@ -163,10 +169,11 @@
     request: histories.Request,
     positions: list[Position],
 ) -> bool:
-    """Return whether a later term had a primary at the acknowledgement.
+    """Return whether a replaced primary acknowledged the write.
 
-    The current primary may acknowledge a repeat whose first outcome an earlier
-    term wrote, if its own log continued from one with that entry.
+    A later term then had a primary at the acknowledgement. That primary itself
+    may acknowledge a retry with an idempotency key whose entry an earlier term
+    wrote, if its log started from one with that entry.
     """
     at = case.history.acknowledged_at.get(request.id, request.answered_at)
     term = max(position.term for position in positions)
@@ -187,7 +194,7 @@
 
 
 def check_terms(case: cases.Case) -> Iterator[cases.Violation]:
-    """A term has one primary, whose log is the only one of the term."""
+    """Check that a term has a single primary and a single log."""
     for database, tree in case.trees.items():
         for position in tree.forks:
             yield cases.Violation(
