--- a/benchmarks/faults/__init__.py
+++ b/benchmarks/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Parts of the randomised fault run: fakes, callers with histories, checker."""
+"""Randomised fault runs: simulation, load, fault injection and checker."""
--- a/benchmarks/faults/cases.py
+++ b/benchmarks/faults/cases.py
@@ -1,4 +1,4 @@
-"""A recorded history with indexes, and what a check reports of it."""
+"""The indexed history that the checks read and the violations they report."""
 
 from collections import defaultdict
 
@@ -8,7 +8,7 @@
 from hyssopshelf import exceptions, messages
 
 TICK_SECONDS = 0.05
-"""Period of the nodes' timer: the resolution of what they can observe."""
+"""Period of the nodes' timer, the resolution at which they detect timeouts."""
 
 Operation = messages.Operation
 Position = messages.Position
@@ -21,9 +21,10 @@
     Attributes
     ----------
     guarantee : int
-        Number of the guarantee on the design page, 0 for a check of the run.
+        Number of the guarantee in the design documentation, 0 for a failure of
+        the run itself.
     rule : str
-        Name of the check.
+        Name of the violated rule.
     subject : str
         Request, endpoint or host concerned.
     """
@@ -45,11 +46,11 @@
     by_transaction: dict[str, list[histories.Request]]
 
     def find_tree(self, database: str) -> logtree.LogTree:
-        """Return the log tree of a database, empty if it has no entry."""
+        """Return the log tree of a database, an empty one if it has no entries."""
         return self.trees.setdefault(database, logtree.LogTree())
 
     def find_labels(self, request: histories.Request) -> list[str]:
-        """Return the labels of the writes that a write request commits."""
+        """Return the labels of the writes that a request commits if it succeeds."""
         if request.operation is not Operation.COMMIT:
             return [request.label]
         return [
@@ -59,7 +60,7 @@
         ]
 
     def list_terms(self, database: str, start: float, end: float) -> list[int]:
-        """Return the terms that had the latest primary at a time in a span."""
+        """Return the terms that were the latest at some time in [start, end)."""
         promotions = [p for p in self.history.promotions if p.database == database]
         before = [p.term for p in promotions if p.at < start]
         within = [p.term for p in promotions if start <= p.at < end]
@@ -68,10 +69,10 @@
     def find_read_entries(
         self, request: histories.Request
     ) -> list[Position | None] | None:
-        """Return the entries that a read's value may come from.
+        """Return the log entries that may have produced the value of a read.
 
-        None in the list stands for the empty log, no list for a value that no
-        entry explains.
+        The list holds None for a key without a value. The result is None if no
+        entry explains the value.
         """
         if request.value is None:
             return [None]
@@ -94,7 +95,7 @@
 
 
 def is_write(request: histories.Request) -> bool:
-    """Return whether a request commits writes when it succeeds."""
+    """Return whether a request commits writes if it succeeds."""
     if request.operation is Operation.COMMIT:
         return True
     writes = (Operation.PUT, Operation.APPEND)
@@ -111,7 +112,7 @@
 
 
 def denies(request: histories.Request) -> bool:
-    """Return whether the answer says that the request did not run."""
+    """Return whether the answer guarantees that the request did not run."""
     if request.answered_at is None or request.error is None:
         return False
     ran = exceptions.DISPOSITIONS[request.error].ran
@@ -119,7 +120,7 @@
 
 
 def build_case(history: histories.History) -> Case:
-    """Return a history with its indexes."""
+    """Build the indexes of a history."""
     by_label = defaultdict(list)
     by_transaction = defaultdict(list)
     for request in history.requests:
--- a/benchmarks/faults/clocks.py
+++ b/benchmarks/faults/clocks.py
@@ -1,4 +1,4 @@
-"""Virtual time: an event queue and clocks that run at their own rates."""
+"""Virtual time: an event loop and clocks with different rates and origins."""
 
 import heapq
 from collections.abc import Callable
@@ -8,12 +8,13 @@
 
 @attrs.define(kw_only=True)
 class EventLoop:
-    """A queue of callbacks in the order of virtual time.
+    """A queue of callbacks ordered by virtual time.
 
     Attributes
     ----------
     now : float
-        Virtual time in seconds. The fakes call it true time; no node sees it.
+        Virtual time in seconds, the true time of the simulation. Nodes only see
+        the skewed clocks.
     """
 
     now: float = 0.0
@@ -21,17 +22,17 @@
     _sequence: int = attrs.field(default=0, init=False)
 
     def call_at(self, time: float, callback: Callable, *arguments) -> None:
-        """Run a callback at a time; equal times run in the order of the calls."""
+        """Schedule a callback; those of equal time run in the order of scheduling."""
         self._sequence += 1
         entry = (max(time, self.now), self._sequence, callback, arguments)
         heapq.heappush(self._queue, entry)
 
     def call_later(self, delay: float, callback: Callable, *arguments) -> None:
-        """Run a callback after a delay in seconds."""
+        """Schedule a callback after a delay in seconds."""
         self.call_at(self.now + delay, callback, *arguments)
 
     def run_until(self, end: float) -> None:
-        """Run all callbacks that are due before a time."""
+        """Run all callbacks due up to and including ``end``; advance to it."""
         while self._queue and self._queue[0][0] <= end:
             time, _, callback, arguments = heapq.heappop(self._queue)
             self.now = time
@@ -46,9 +47,9 @@
     Attributes
     ----------
     rate : float
-        Seconds that this clock advances in one second of true time.
+        Seconds by which this clock advances per second of true time.
     origin : float
-        Reading at true time 0.
+        Reading at true time 0, in seconds.
     """
 
     loop: EventLoop
@@ -60,5 +61,5 @@
         return self.origin + self.loop.now * self.rate
 
     def to_true_delay(self, seconds: float) -> float:
-        """Return the true duration of a duration on this clock."""
+        """Convert a duration on this clock to true time, in seconds."""
         return seconds / self.rate
--- a/benchmarks/faults/logtree.py
+++ b/benchmarks/faults/logtree.py
@@ -1,4 +1,4 @@
-"""The logs of one database as a tree of entries with a branch for each term."""
+"""The logs of a database as a tree of entries with one branch for each term."""
 
 import bisect
 
@@ -12,10 +12,10 @@
 
 @attrs.define(kw_only=True)
 class LogTree:
-    """All entries that any primary of a database ever appended.
+    """All entries appended by any primary of a database.
 
-    A position names an entry, because a term has one primary. ``forks`` lists
-    the positions for which that does not hold.
+    A position identifies an entry because a term has one primary. ``forks``
+    lists the positions that were appended more than once.
     """
 
     entries: dict[Position, histories.LogEntry] = attrs.field(factory=dict)
@@ -25,7 +25,7 @@
     _by_label: dict[str, list[Position]] = attrs.field(factory=dict)
 
     def add(self, entry: histories.LogEntry) -> None:
-        """Add an entry; entries of a term come in the order of their index."""
+        """Add an entry; the entries of a term must be added in index order."""
         position = entry.position
         if position in self.entries:
             self.forks.append(position)
@@ -46,7 +46,7 @@
         return self._by_label.get(label, [])
 
     def contains(self, head: Position | None, position: Position | None) -> bool:
-        """Return whether the log that ends at ``head`` holds a position."""
+        """Return whether the log that ends at ``head`` contains a position."""
         if position is None:
             return True
         while head is not None and head.term > position.term:
@@ -58,12 +58,12 @@
         )
 
     def is_discarded(self, term: int, position: Position) -> bool:
-        """Return whether a later term continued from a log without a position."""
+        """Return whether a later term started from a log without the position."""
         known = term in self._parents and term > position.term
         return known and not self.contains(self._parents[term], position)
 
     def is_kept(self, term: int, position: Position) -> bool:
-        """Return whether a later term continued from a log with a position."""
+        """Return whether a later term started from a log with the position."""
         known = term in self._parents and term > position.term
         return known and self.contains(self._parents[term], position)
 
--- a/benchmarks/faults/variants.py
+++ b/benchmarks/faults/variants.py
@@ -1,7 +1,7 @@
-"""Deliberately broken cores: each replaces one function or constant of the core.
+"""Broken variants of the core, each with one replaced function or constant.
 
-A variant breaks one guarantee. The checker has to find it within a few fixed
-seeds, which shows that the check is able to fail.
+A variant violates one guarantee, which the checker has to detect within a few
+fixed seeds. This shows that the check can fail.
 """
 
 import contextlib
@@ -20,18 +20,18 @@
 
 @attrs.frozen(kw_only=True)
 class Variant:
-    """One broken function.
+    """A replacement of one function or constant of the core.
 
     Attributes
     ----------
     target : module or class
-        Where the function is looked up by its callers.
+        Namespace in which the callers look up the name.
     name : str
         Name of the function or constant.
     replacement : object
-        What takes its place.
+        Value that replaces it.
     rules : tuple of str
-        Rules of the checker of which one has to fire.
+        Rules of the checker, at least one of which has to be violated.
     """
 
     target: object
@@ -44,7 +44,7 @@
 
 
 def add_variant(target: object, name: str, *rules: str) -> Callable:
-    """Return a decorator that makes a function a variant under its name."""
+    """Return a decorator that registers a function as a variant by its name."""
 
     def add(replacement: Callable) -> Callable:
         VARIANTS[replacement.__name__] = Variant(
@@ -57,10 +57,10 @@
 
 @contextlib.contextmanager
 def apply_variant(name: str) -> Iterator[Variant]:
-    """Run with a broken core inside the context.
+    """Replace a part of the core while the context is active.
 
-    The program's own assertions are switched off, so that the checker has to find
-    the fault in the histories.
+    The assertions of the core are disabled as well, so that the checker has to
+    detect the fault from the history.
     """
     variant = VARIANTS[name]
     with (
@@ -71,7 +71,7 @@
 
 
 def _ignore(holds: bool, text: str) -> None:
-    """Take the place of the program's assertions."""
+    """Replace ``invariants.require`` and check nothing."""
 
 
 # Writes and acknowledgements.
@@ -79,13 +79,13 @@
 
 @add_variant(completion, "_confirm", "majority_write_lost")
 def acknowledge_unconfirmed(board, served, now):
-    """Acknowledge a write as soon as the primary answered."""
+    """Acknowledge a write when the primary answers, without confirmation."""
     completion._finish_success(board, served, served.answer.written)
 
 
 @add_variant(confirmation, "_holds_position", "majority_write_lost")
 def ignore_logs(status, position):
-    """Acknowledge at majority without looking at the logs."""
+    """Confirm a majority write without comparing the replicas' positions."""
     return True
 
 
@@ -99,21 +99,21 @@
 
 @add_variant(answers, "reply_lost", "ran_twice")
 def repeat_unknown_write(board, request, message):
-    """Send a statement again whose outcome is unknown."""
+    """Retry a statement whose outcome is unknown."""
     request.deadline = board.now + 3.0
     entry.park(board, request, message, board.now)
 
 
 @add_variant(completion, "finish_unknown", "ran_after_not_run", "ran_twice")
 def deny_after_execute(board, served, message):
-    """Answer that a statement did not run after it was sent to the endpoint."""
+    """Report a statement as not run although it was sent to the endpoint."""
     kind = exceptions.ErrorKind.NOT_RUN
     completion.finish_error(board, served, kind, message)
 
 
 @add_variant(replay, "accept_request", "ran_twice")
 def accept_doubled_request(board, request_id, now):
-    """Run a doubled message twice."""
+    """Execute a duplicated message again."""
     return True
 
 
@@ -128,7 +128,7 @@
     "begin_inside_transaction",
 )
 def reuse_doubtful_connection(board, connection, reason):
-    """Return a connection in doubt to the pool."""
+    """Return a connection in an uncertain state to the pool."""
     record = board.connections.get(connection)
     if record is not None and record.state is not records.ConnectionState.OPENING:
         pool.release_connection(board, record, board.now)
@@ -142,7 +142,7 @@
     "acknowledged_but_not_written",
 )
 def share_connection_of_transaction(board, endpoint, work_id):
-    """Let other work use a connection between a transaction's statements."""
+    """Let other work use a connection between the statements of a transaction."""
     for record in pool.find_connections(board, endpoint):
         held = record.state is records.ConnectionState.IN_TRANSACTION
         if held and not record.work_id:
@@ -162,7 +162,7 @@
     "session_went_back",
 )
 def match_wrong_request(board, request, message):
-    """Give an answer to another request that waits at the same node."""
+    """Send an answer to another pending request of the same node."""
     statement = request.statement
     for other in list(board.requests.values()):
         asked = other.statement
@@ -180,19 +180,19 @@
 
 @add_variant(reads, "check_state", "session_went_back")
 def skip_token_check(status, asked_at, consistency, required, staleness_seconds, now):
-    """Serve a read wherever it was sent, whatever its token says."""
+    """Serve a read without checking its token or staleness bound."""
     return reads.Verdict.SATISFIED
 
 
 @add_variant(positions, "contains", "session_went_back")
 def compare_index_only(history, last, position):
-    """Accept a token position by its number and ignore its term."""
+    """Compare the index of a token position and ignore its term."""
     return position.index <= last
 
 
 @add_variant(reads, "compute_lag", "read_older_than_bound")
 def ignore_lag(status, asked_at, now):
-    """Treat every replica as fresh."""
+    """Treat every replica as up to date."""
     return 0.0
 
 
@@ -200,7 +200,7 @@
     reads, "needs_confirmation", "strong_read_missed_write", "read_older_than_bound"
 )
 def trust_primary(consistency, required):
-    """Serve reads on a primary that may have been replaced."""
+    """Serve reads from a primary without confirming that it still is one."""
     return False
 
 
@@ -216,7 +216,7 @@
     "acknowledged_by_replaced_primary",
 )
 def promote_without_majority(board, attempt, endpoint, answer, now):
-    """Promote as soon as one endpoint granted the fence."""
+    """Promote once a single endpoint has granted the fence."""
     if answer.granted and answer.status.term == attempt.term:
         attempt.grants[endpoint] = answer.status
         if endpoint != attempt.excluded:
@@ -226,7 +226,7 @@
 
 @add_variant(promotion, "choose_log", "majority_write_lost")
 def promote_shortest_log(grants, target, avoided):
-    """Promote the least advanced log of the fenced endpoints."""
+    """Promote the fenced endpoint with the shortest log."""
     return min(grants, key=lambda name: promotion._get_end(grants[name]))
 
 
@@ -235,7 +235,7 @@
 
 @add_variant(documents, "supersedes", "configuration_reverted", "store_reverted")
 def apply_any_version(new, held):
-    """Apply every document that differs from the one held."""
+    """Apply any document that differs from the current one."""
     return new != held
 
 
@@ -243,7 +243,7 @@
     documents, "contains_change", "change_accepted_twice", "denied_change_accepted"
 )
 def forget_change_ids(document, changes):
-    """Repeat a change whose answer was lost."""
+    """Apply a change again when it is retried after a lost answer."""
     return False
 
 
@@ -259,5 +259,5 @@
 
 @add_variant(node, "is_idle", "drain_cut_requests")
 def stop_at_once(board, now):
-    """End a draining node with requests in flight."""
+    """Stop a draining node with requests in flight."""
     return True
