--- a/benchmarks/bench_replica_reads.py
+++ b/benchmarks/bench_replica_reads.py
@@ -52,7 +52,7 @@
         made = super()._make_caller(name, kind)
         if not name.startswith("c") or int(name[1:]) % 2:
             return made
-        fields = ("name", "pool", "partner", "databases", "kind", "random", "around")
+        fields = ("name", "pool", "partner", "databases", "kind", "random", "context")
         return Reader(**{field: getattr(made, field) for field in fields})
 
 
--- a/benchmarks/faults/callers.py
+++ b/benchmarks/faults/callers.py
@@ -50,7 +50,7 @@
     databases: tuple[str, ...]
     kind: Kind
     random: random.Random
-    around: nodes.Surroundings
+    context: nodes.RunContext
     think_seconds: float = 0.2
     stop_at: float = float("inf")
     last_answer: messages.Answer | None = None
@@ -66,11 +66,11 @@
 
     @property
     def _loop(self) -> clocks.EventLoop:
-        return self.around.loop
+        return self.context.loop
 
     @property
     def _network(self) -> network.Network:
-        return self.around.network
+        return self.context.network
 
     def start(self) -> None:
         """Start sending statements."""
@@ -251,7 +251,7 @@
             return True
         hosts = [
             name
-            for name, process in self.around.nodes.items()
+            for name, process in self.context.nodes.items()
             if process.alive and self._network.connects(self.name, name)
         ]
         if not hosts:
@@ -259,8 +259,8 @@
         self._host = self.random.choice(sorted(hosts))
         self._connection = f"{self.name}#{next(self._numbers)}"
         self._asked.clear()
-        self.around.replies[self._connection] = self._receiver(self._connection)
-        process = self.around.nodes[self._host]
+        self.context.replies[self._connection] = self._receiver(self._connection)
+        process = self.context.nodes[self._host]
         process.on_death.append(self._death_watcher(self._connection))
         return True
 
@@ -268,8 +268,8 @@
         if not self._connection:
             return
         connection, self._connection = self._connection, ""
-        self.around.replies.pop(connection, None)
-        process = self.around.nodes[self._host]
+        self.context.replies.pop(connection, None)
+        process = self.context.nodes[self._host]
         gone = base.CallerGone(caller=connection)
         delay = self._network.draw_delay(self.name, self._host)
         incarnation = process.incarnation
@@ -292,7 +292,7 @@
 
     def _death_watcher(self, connection: str) -> Callable:
         def watch() -> None:
-            self.around.replies.pop(connection, None)
+            self.context.replies.pop(connection, None)
             if connection == self._connection:
                 self._connection = ""
                 self._give_up(self._waiting)
@@ -306,9 +306,9 @@
             return
         request.entry = self._host
         request.invoked_at = self._loop.now
-        self.around.history.requests.append(request)
+        self.context.history.requests.append(request)
         self._waiting = self._asked[request.id] = request
-        process = self.around.nodes[self._host]
+        process = self.context.nodes[self._host]
         connection = self._connection
         incarnation = process.incarnation
         event = base.StatementReceived(caller=connection, statement=statement)
@@ -333,7 +333,7 @@
             earlier.answers += 1
             return
         if request is None:
-            self.around.history.crashes.append(
+            self.context.history.crashes.append(
                 f"answer {answer.id} without a waiting request"
             )
             return
--- a/benchmarks/faults/nodes.py
+++ b/benchmarks/faults/nodes.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define(kw_only=True)
-class Surroundings:
+class RunContext:
     """Everything the fake adapters of the nodes communicate with.
 
     Attributes
@@ -68,7 +68,7 @@
     region: str
     clock: clocks.SkewedClock
     random: random.Random
-    around: Surroundings
+    context: RunContext
     prepare: Callable
     alive: bool = False
     paused: bool = False
@@ -90,7 +90,7 @@
         self.incarnation += 1
         self.alive = True
         self.paused = self.stopping = False
-        self.started_at = self.around.loop.now
+        self.started_at = self.context.loop.now
         self._versions.clear()
         identity = blackboard.Identity(
             host=self.host,
@@ -163,12 +163,12 @@
             actions = self.core.handle(event, self.clock.read())
         except Exception as error:
             place = traceback.extract_tb(error.__traceback__)[-1]
-            self.around.history.crashes.append(
+            self.context.history.crashes.append(
                 f"{error!r} in {place.name} on {type(event).__name__}"
             )
             self._trace(traceback.format_exc())
             return
-        if self.around.trace is not None:
+        if self.context.trace is not None:
             self._trace_event(event, actions)
         self._record_versions()
         for action in actions:
@@ -185,10 +185,10 @@
             return
         stopped = histories.Stopped(
             host=self.host,
-            at=self.around.loop.now,
+            at=self.context.loop.now,
             in_flight=tuple(self.in_flight),
         )
-        self.around.history.stopped.append(stopped)
+        self.context.history.stopped.append(stopped)
         # Answers sent just now must reach the callers before the process exits.
         self.stopping = False
         self._schedule(0.05, self._replace)
@@ -196,7 +196,7 @@
     def _replace(self) -> None:
         """Terminate a drained process; the platform starts a new one later."""
         self.kill()
-        self.around.loop.call_later(REPLACE_SECONDS, self._start_if_dead)
+        self.context.loop.call_later(REPLACE_SECONDS, self._start_if_dead)
 
     def _start_if_dead(self) -> None:
         if not self.alive:
@@ -210,7 +210,7 @@
                 call()
 
         delay = self.clock.to_true_delay(seconds)
-        self.around.loop.call_later(delay, run)
+        self.context.loop.call_later(delay, run)
 
     def _tick(self) -> None:
         self._schedule(node.TICK_SECONDS, self._tick)
@@ -225,7 +225,7 @@
             receive = self._in_this_life(
                 lambda rows: self.handle(base.HostListReceived(hosts=rows))
             )
-            self.around.host_list.read(self.host, receive)
+            self.context.host_list.read(self.host, receive)
 
     def _in_this_life(self, call: Callable) -> Callable:
         """Wrap a callback to do nothing once this incarnation has ended."""
@@ -241,13 +241,13 @@
         for pool, view in self.core.board.pools.items():
             if self._versions.get(pool) != view.version:
                 self._versions[pool] = view.version
-                self.around.history.in_force.append(
+                self.context.history.in_force.append(
                     histories.ConfigurationInForce(
                         host=self.host,
                         incarnation=self.incarnation,
                         pool=pool,
                         version=view.version,
-                        at=self.around.loop.now,
+                        at=self.context.loop.now,
                     )
                 )
 
@@ -277,25 +277,25 @@
         statement_id = getattr(answer, "id", "")
         self.in_flight.pop(statement_id, None)
         if getattr(answer, "error", None) is None:
-            times = self.around.history.acknowledged_at
-            times.setdefault(statement_id, self.around.loop.now)
-        receive = self.around.replies.get(action.caller)
+            times = self.context.history.acknowledged_at
+            times.setdefault(statement_id, self.context.loop.now)
+        receive = self.context.replies.get(action.caller)
         caller = action.caller.partition("#")[0]
-        if receive is not None and not self.around.network.is_cut(self.host, caller):
-            delay = self.around.network.draw_delay(self.host, caller)
-            self.around.loop.call_later(delay, receive, answer)
+        if receive is not None and not self.context.network.is_cut(self.host, caller):
+            delay = self.context.network.draw_delay(self.host, caller)
+            self.context.loop.call_later(delay, receive, answer)
 
     def _send_peer(self, action: base.SendPeer) -> None:
         envelope = messages.Envelope(
             host=self.host, address=self.host, message=action.message
         )
         data = messages.encode(envelope)
-        peer = self.around.nodes.get(action.host)
+        peer = self.context.nodes.get(action.host)
         unsent = base.PeerUnsent(host=action.host, message=action.message)
         report_unsent = self._in_this_life(lambda: self.handle(unsent))
         if peer is None or not peer.alive:
             if self.random.random() < 0.5:
-                self.around.loop.call_later(0.001, report_unsent)
+                self.context.loop.call_later(0.001, report_unsent)
             return
 
         def deliver() -> None:
@@ -305,11 +305,11 @@
             )
             peer.handle(event)
 
-        self.around.network.send(self.host, action.host, deliver, report_unsent)
+        self.context.network.send(self.host, action.host, deliver, report_unsent)
 
     def _open(self, action: base.OpenConnection) -> None:
-        endpoint = self.around.endpoints[action.endpoint]
-        net = self.around.network
+        endpoint = self.context.endpoints[action.endpoint]
+        net = self.context.network
         connection = endpoints.DataConnection(
             id=action.connection,
             host=self.host,
@@ -394,7 +394,7 @@
             self._schedule(0.0, lambda: self.handle(closed))
             return
         connection, endpoint = held
-        sent_at = self.around.loop.now
+        sent_at = self.context.loop.now
         connection.up.send(
             lambda: endpoint.run(
                 lambda: endpoint.submit(
@@ -405,9 +405,9 @@
 
     def _call_endpoint(self, name: str, call: Callable, report: Callable) -> None:
         """Call an endpoint's control interface; report None on timeout."""
-        endpoint = self.around.endpoints[name]
+        endpoint = self.context.endpoints[name]
         if name not in self._channels:
-            net = self.around.network
+            net = self.context.network
             self._channels[name] = (
                 network.Channel(network=net, sender=self.host, receiver=name),
                 network.Channel(network=net, sender=name, receiver=self.host),
@@ -461,11 +461,11 @@
                 base.StoreAnswered(call_id=action.call_id, result=result)
             )
         )
-        self.around.store.call(self.host, action.operation, receive)
+        self.context.store.call(self.host, action.operation, receive)
 
     def _trace(self, text: str) -> None:
-        if self.around.trace is not None:
-            self.around.trace(self.host, text)
+        if self.context.trace is not None:
+            self.context.trace(self.host, text)
 
     def _trace_event(self, event: base.Event, actions: list[base.Action]) -> None:
         quiet = (base.Ticked, base.StatusReceived, base.HostListReceived)
--- a/benchmarks/faults/operators.py
+++ b/benchmarks/faults/operators.py
@@ -26,7 +26,7 @@
     pool: str
     partners: tuple[str, ...]
     random: random.Random
-    around: nodes.Surroundings
+    context: nodes.RunContext
     _numbers: itertools.count = attrs.field(factory=itertools.count, init=False)
 
     def edit(self) -> None:
@@ -41,7 +41,7 @@
             def make_spec(old, spec=spec):
                 return spec
 
-            self.around.loop.call_later(
+            self.context.loop.call_later(
                 delay, self._start, resources.ResourceKind.SPLIT, "split", make_spec
             )
 
@@ -80,17 +80,17 @@
         change = histories.Change(
             id=f"change{next(self._numbers)}",
             pool=self.pool,
-            invoked_at=self.around.loop.now,
+            invoked_at=self.context.loop.now,
             leaving=leaving,
         )
-        self.around.history.changes.append(change)
+        self.context.history.changes.append(change)
         held = self._read(kind, name)
         resource = attrs.evolve(held, spec=make_spec(held.spec))
         self._send(change, resource, ATTEMPTS)
 
     def _read(self, kind: resources.ResourceKind, name: str) -> resources.Resource:
         """Return a resource from the stored document, as the operator read it."""
-        entry = self.around.store.entries[documents.key_of(self.pool)]
+        entry = self.context.store.entries[documents.key_of(self.pool)]
         document = declarations.decode_document(entry.value)
         return next(
             item
@@ -103,28 +103,28 @@
     ) -> None:
         hosts = sorted(
             name
-            for name, process in self.around.nodes.items()
+            for name, process in self.context.nodes.items()
             if process.alive and process.core.board.configuration_ready
         )
         if not hosts or not attempts:
             return
-        process = self.around.nodes[self.random.choice(hosts)]
+        process = self.context.nodes[self.random.choice(hosts)]
         caller = f"operator{next(self._numbers)}"
-        attempt = histories.Attempt(sent_at=self.around.loop.now)
+        attempt = histories.Attempt(sent_at=self.context.loop.now)
         change.attempts.append(attempt)
 
         def receive(answer: requests.ApiAnswer | None) -> None:
-            if self.around.replies.pop(caller, None) is None:
+            if self.context.replies.pop(caller, None) is None:
                 return
             if answer is not None:
-                attempt.answered_at = self.around.loop.now
+                attempt.answered_at = self.context.loop.now
                 attempt.error = answer.error
             if _may_repeat(answer):
-                self.around.loop.call_later(
+                self.context.loop.call_later(
                     RETRY_SECONDS, self._send, change, resource, attempts - 1
                 )
 
-        self.around.replies[caller] = receive
+        self.context.replies[caller] = receive
         request = requests.Apply(
             pool=self.pool, change_id=change.id, resources=(resource,)
         )
@@ -135,8 +135,8 @@
             if process.incarnation == incarnation:
                 process.handle(event)
 
-        self.around.loop.call_later(0.003, deliver)
-        self.around.loop.call_later(WAIT_SECONDS, receive, None)
+        self.context.loop.call_later(0.003, deliver)
+        self.context.loop.call_later(WAIT_SECONDS, receive, None)
 
 
 def _may_repeat(answer: requests.ApiAnswer | None) -> bool:
--- a/benchmarks/faults/plan.py
+++ b/benchmarks/faults/plan.py
@@ -62,7 +62,7 @@
         Takes the name of an endpoint and whether to declare it as leaving.
     """
 
-    around: nodes.Surroundings
+    context: nodes.RunContext
     random: random.Random
     callers: tuple[str, ...]
     flood: Callable[[float], None]
@@ -87,17 +87,17 @@
             times = 2 if self.random.random() < REPEAT_RATE else 1
             for number in range(times):
                 begin = time + number * self.random.uniform(0.0, 1.0)
-                self.around.loop.call_at(begin, self._start, name, end)
+                self.context.loop.call_at(begin, self._start, name, end)
 
     def begin(self, name: str, seconds: float) -> None:
         """Start the named fault and schedule its end after ``seconds``."""
         self.counts[name] = self.counts.get(name, 0) + 1
         undo = getattr(self, f"_{name}")(seconds)
         if undo is not None:
-            self.around.loop.call_later(seconds, undo)
+            self.context.loop.call_later(seconds, undo)
 
     def _start(self, name: str, end: float) -> None:
-        now = self.around.loop.now
+        now = self.context.loop.now
         if now >= end:
             return
         short = self.random.random() < 0.5
@@ -105,15 +105,15 @@
         self.begin(name, min(seconds, end - now))
 
     def _trace(self, text: str) -> None:
-        if self.around.trace is not None:
-            self.around.trace("faults", text)
+        if self.context.trace is not None:
+            self.context.trace("faults", text)
 
     # Network.
 
     def _list_parties(self) -> list[str]:
         return [
-            *sorted(self.around.nodes),
-            *sorted(self.around.endpoints),
+            *sorted(self.context.nodes),
+            *sorted(self.context.endpoints),
             store.NAME,
             store.HOST_LIST_NAME,
             *self.callers,
@@ -121,7 +121,7 @@
 
     def _cut_links(self, links: list[tuple[str, str]], seconds: float) -> Callable:
         self._trace(f"cut for {seconds:.3f} s: {links}")
-        net = self.around.network
+        net = self.context.network
         for link in links:
             net.cut(*link)
 
@@ -158,7 +158,7 @@
         """Cut a primary from its replicas and from a random subset of the hosts."""
         primary = self._choose_primary()
         others = {name for name in primary.peers if name != primary.name}
-        hosts = sorted(self.around.nodes)
+        hosts = sorted(self.context.nodes)
         count = self.random.randrange(len(hosts) + 1)
         others.update(self.random.sample(hosts, count))
         return self._cut_groups({primary.name}, others, seconds)
@@ -175,14 +175,14 @@
         server = max(sorted(set(hosts)), key=hosts.count) if hosts else ""
         if self.random.random() < 0.5:
             # The promoting node then cannot fence the primary, which is still used.
-            others.update(name for name in self.around.nodes if name != server)
+            others.update(name for name in self.context.nodes if name != server)
         heal = self._cut_groups({primary.name}, others, 9.0)
-        self.around.loop.call_later(9.0, heal)
+        self.context.loop.call_later(9.0, heal)
         if server:
-            process = self.around.nodes[server]
+            process = self.context.nodes[server]
             begin = self.random.uniform(1.0, 2.3)
             pause = self.random.uniform(0.8, 4.0)
-            self.around.loop.call_later(begin, self._pause_for, process, pause)
+            self.context.loop.call_later(begin, self._pause_for, process, pause)
 
     def _pause_for(self, process: nodes.NodeProcess, seconds: float) -> None:
         if not process.alive or process.paused:
@@ -195,17 +195,17 @@
             if process.incarnation == incarnation:
                 process.resume()
 
-        self.around.loop.call_later(seconds, resume)
+        self.context.loop.call_later(seconds, resume)
 
     def _isolate_place(self, seconds: float) -> Callable:
-        places = self.around.network.places
+        places = self.context.network.places
         place = self.random.choice(sorted(set(places.values())))
         inner = {name for name, where in places.items() if where == place}
         return self._cut_groups(inner, set(self._list_parties()), seconds)
 
     def _disturb_messages(self, seconds: float) -> Callable:
         self._trace("messages are delayed, duplicated, reordered and lost")
-        net = self.around.network
+        net = self.context.network
         net.late_rate, net.doubled_rate, net.lost_rate = 0.2, 0.2, 0.03
 
         def restore() -> None:
@@ -215,28 +215,28 @@
 
     def _break_connections(self, seconds: float) -> None:
         process = self._choose_node()
-        endpoint = self.random.choice(sorted(self.around.endpoints))
+        endpoint = self.random.choice(sorted(self.context.endpoints))
         self._trace(f"connections of {process.host} to {endpoint} break")
         process.break_connections(endpoint)
 
     # Processes.
 
     def _choose_node(self) -> nodes.NodeProcess:
-        return self.around.nodes[self.random.choice(sorted(self.around.nodes))]
+        return self.context.nodes[self.random.choice(sorted(self.context.nodes))]
 
     def _choose_endpoint(self) -> endpoints.FakeEndpoint:
         if self.random.random() < 0.5:
             return self._choose_primary()
-        name = self.random.choice(sorted(self.around.endpoints))
-        return self.around.endpoints[name]
+        name = self.random.choice(sorted(self.context.endpoints))
+        return self.context.endpoints[name]
 
     def _choose_primary(self) -> endpoints.FakeEndpoint:
         found = [
             endpoint
-            for _, endpoint in sorted(self.around.endpoints.items())
+            for _, endpoint in sorted(self.context.endpoints.items())
             if endpoint.is_primary
         ]
-        return self.random.choice(found or list(self.around.endpoints.values()))
+        return self.random.choice(found or list(self.context.endpoints.values()))
 
     def _pause_node(self, seconds: float) -> None:
         self._pause_for(self._choose_node(), seconds)
@@ -307,7 +307,7 @@
 
     def _stop_store(self, seconds: float) -> Callable:
         self._trace(f"store down for {seconds:.3f} s")
-        target = self.around.store
+        target = self.context.store
         target.down = True
 
         def recover() -> None:
@@ -316,7 +316,7 @@
         return recover
 
     def _slow_store(self, seconds: float) -> Callable:
-        target = self.around.store
+        target = self.context.store
         target.slow_seconds = self.random.uniform(0.1, 3.0)
         self._trace(f"store slow by {target.slow_seconds:.3f} s for {seconds:.3f} s")
 
@@ -327,7 +327,7 @@
 
     def _lose_store_answers(self, seconds: float) -> Callable:
         self._trace(f"store loses answers for {seconds:.3f} s")
-        target = self.around.store
+        target = self.context.store
         target.lost_rate = 0.5
 
         def recover() -> None:
@@ -351,4 +351,4 @@
         seconds += self.random.choice((0.0, 4.0, 4.0))
         self._trace(f"{name} is leaving for {seconds:.3f} s")
         self.leave(name, True)
-        self.around.loop.call_later(seconds, self.leave, name, False)
+        self.context.loop.call_later(seconds, self.leave, name, False)
--- a/benchmarks/faults/world.py
+++ b/benchmarks/faults/world.py
@@ -159,7 +159,7 @@
         self.loop = clocks.EventLoop()
         self.history = histories.History(slowest_rate=1.0 - RATE_SPREAD)
         net = network.Network(loop=self.loop, random=self._fork())
-        self.around = nodes.Surroundings(
+        self.context = nodes.RunContext(
             loop=self.loop,
             network=net,
             history=self.history,
@@ -180,10 +180,10 @@
             for n in range(options.callers)
         ]
         staff = operators.Operators(
-            pool=POOL, partners=PARTNERS, random=self._fork(), around=self.around
+            pool=POOL, partners=PARTNERS, random=self._fork(), context=self.context
         )
         self.injector = plan.Injector(
-            around=self.around,
+            context=self.context,
             random=self._fork(),
             callers=tuple(caller.name for caller in self.callers),
             only=options.faults,
@@ -206,9 +206,9 @@
     def start(self) -> None:
         """Write the configuration and start all processes and callers."""
         data = declarations.encode_document(make_document(self.options.kinds))
-        self.around.store.write(documents.key_of(POOL), data)
+        self.context.store.write(documents.key_of(POOL), data)
         self._publish_hosts()
-        for process in self.around.nodes.values():
+        for process in self.context.nodes.values():
             process.start()
         for caller in self.callers:
             caller.start()
@@ -222,7 +222,7 @@
         self._probe_service()
         self.history.stalled.extend(
             f"{host} has not finished draining"
-            for host, process in self.around.nodes.items()
+            for host, process in self.context.nodes.items()
             if process.stopping
         )
         self.history.end = self.loop.now
@@ -234,7 +234,7 @@
             history=self.history,
             faults=dict(self.injector.counts),
             virtual_seconds=self.loop.now,
-            store_calls=self.around.store.calls,
+            store_calls=self.context.store.calls,
         )
 
     # Construction.
@@ -254,12 +254,12 @@
             group: dict[str, endpoints.FakeEndpoint] = {}
             for letter, place in zip("abc", PLACES, strict=True):
                 full = f"{POOL}/{name}/{letter}"
-                self.around.network.places[full] = place
+                self.context.network.places[full] = place
                 group[full] = endpoints.FakeEndpoint(
                     name=full,
                     loop=self.loop,
                     clock=self._make_clock(),
-                    network=self.around.network,
+                    network=self.context.network,
                     random=self._fork(),
                     history=self.history,
                     instance=database.Instance(
@@ -274,29 +274,29 @@
             for replica in replicas:
                 order = messages.Follow(term=1, primary=primary.name)
                 replica.instance.follow(order, replica.clock.read())
-            self.around.endpoints.update(group)
-        for endpoint in self.around.endpoints.values():
+            self.context.endpoints.update(group)
+        for endpoint in self.context.endpoints.values():
             endpoint.start()
 
     def _build_nodes(self) -> None:
         for number in range(self.options.hosts):
             host = f"h{number}"
             place = PLACES[number % len(PLACES)]
-            self.around.network.places[host] = place
-            self.around.nodes[host] = nodes.NodeProcess(
+            self.context.network.places[host] = place
+            self.context.nodes[host] = nodes.NodeProcess(
                 host=host,
                 place=place,
                 region=place,
                 clock=self._make_clock(),
                 random=self._fork(),
-                around=self.around,
+                context=self.context,
                 prepare=self._prepare,
             )
 
     def _prepare(self, process: nodes.NodeProcess) -> None:
         """Add the hosts a core knows from its settings: itself and two to join."""
         board = process.core.board
-        others = [name for name in self.around.nodes if name != process.host]
+        others = [name for name in self.context.nodes if name != process.host]
         for name in process.random.sample(others, 2):
             board.hosts[name] = blackboard.HostRecord(
                 name=name, address=name, place="", region=""
@@ -317,7 +317,7 @@
             databases=DATABASES,
             kind=kind,
             random=self._fork(),
-            around=self.around,
+            context=self.context,
         )
 
     # Steps of a run.
@@ -331,22 +331,22 @@
             caller.start()
 
     def _publish_hosts(self) -> None:
-        self.around.host_list.publish(nodes.list_host_entries(self.around.nodes))
+        self.context.host_list.publish(nodes.list_host_entries(self.context.nodes))
         self.loop.call_later(1.0, self._publish_hosts)
 
     def _sample(self) -> None:
         """Record which nodes are reachable, every ``SAMPLE_SECONDS``."""
-        alive = [process for process in self.around.nodes.values() if process.alive]
+        alive = [process for process in self.context.nodes.values() if process.alive]
         everyone = True
-        for process in self.around.nodes.values():
+        for process in self.context.nodes.values():
             reachable = self._is_reachable(process, alive)
             everyone = everyone and reachable
             self._set_reachable(process.host, reachable)
-        platform = self.around.store
+        platform = self.context.store
         well = not (platform.down or platform.slow_seconds or platform.lost_rate)
         # While the store is unavailable, a change known only to the node that
         # committed it reaches the others when that node or the store is back.
-        for host in () if well or everyone else self.around.nodes:
+        for host in () if well or everyone else self.context.nodes:
             self._set_reachable(host, False)
         self.loop.call_later(SAMPLE_SECONDS, self._sample)
 
@@ -362,9 +362,9 @@
             for other in alive
             if other is not process
             and not other.paused
-            and self.around.network.connects(process.host, other.host)
+            and self.context.network.connects(process.host, other.host)
         ]
-        return 2 * len(peers) > len(self.around.nodes) - 1
+        return 2 * len(peers) > len(self.context.nodes) - 1
 
     def _set_reachable(self, host: str, reachable: bool) -> None:
         if not reachable:
@@ -400,7 +400,7 @@
             full = f"{POOL}/{name}"
             group = [
                 endpoint.instance
-                for endpoint in self.around.endpoints.values()
+                for endpoint in self.context.endpoints.values()
                 if endpoint.database == full
             ]
             primaries = [i for i in group if i.role is messages.Role.PRIMARY]
