--- a/benchmarks/bench_replica_reads.py
+++ b/benchmarks/bench_replica_reads.py
@@ -37,7 +37,7 @@
             if self._session_left <= 0:
                 self._start_session()
             self._session_left -= 1
-            yield from self._ask(
+            yield from self._call(
                 messages.Operation.GET,
                 key=f"a{self.random.randrange(4)}",
                 consistency=messages.Consistency.BOUNDED,
--- a/benchmarks/faults/callers.py
+++ b/benchmarks/faults/callers.py
@@ -12,7 +12,7 @@
 ANSWER_GRACE_SECONDS = 0.5
 """Time a caller waits for an answer after the deadline of a statement."""
 
-REPEATS = 3
+WRITE_RETRIES = 3
 """Maximum number of retries of a write."""
 
 SESSION_REQUESTS = 40
@@ -60,7 +60,7 @@
     _token: str = ""
     _host: str = ""
     _connection: str = ""
-    _asked: dict[str, histories.Request] = attrs.field(factory=dict)
+    _sent_requests: dict[str, histories.Request] = attrs.field(factory=dict)
     _waiting: histories.Request | None = None
     _script: Generator | None = None
 
@@ -81,7 +81,7 @@
         """Send one write to a database."""
         self._start_session()
         label = f"{self.name}-{next(self._numbers)}"
-        self._script = self._ask(
+        self._script = self._call(
             Operation.PUT, database=database, key="p0", label=label
         )
         self._continue(None)
@@ -111,7 +111,7 @@
             elif draw < 0.85:
                 yield from self._write()
             else:
-                yield from self._transact()
+                yield from self._run_transaction()
             yield self.random.uniform(0.0, self.think_seconds)
             if self.random.random() < 0.1:
                 self._disconnect()
@@ -126,7 +126,7 @@
             (Consistency.SESSION, Consistency.BOUNDED, Consistency.STRONG), (6, 3, 1)
         )[0]
         key = self.random.choice(("p", "a")) + str(self.random.randrange(4))
-        yield from self._ask(Operation.GET, key=key, consistency=consistency)
+        yield from self._call(Operation.GET, key=key, consistency=consistency)
 
     def _write(self) -> Generator:
         appending = self.random.random() < 0.5
@@ -135,8 +135,8 @@
         label = f"{self.name}-{next(self._numbers)}"
         keyed = self.random.random() < 0.5
         database = self.random.choice(self.databases)
-        for attempt in range(1 + REPEATS):
-            request = yield from self._ask(
+        for attempt in range(1 + WRITE_RETRIES):
+            request = yield from self._call(
                 operation,
                 database=database,
                 key=key,
@@ -144,11 +144,11 @@
                 idempotency_key=f"i-{label}" if keyed else "",
                 retried=attempt > 0,
             )
-            if not self._may_repeat(request, keyed):
+            if not self._may_retry(request, keyed):
                 return
             yield self.random.uniform(0.0, 0.3)
 
-    def _may_repeat(self, request: histories.Request, keyed: bool) -> bool:
+    def _may_retry(self, request: histories.Request, keyed: bool) -> bool:
         if request.succeeded or self._loop.now >= self.stop_at:
             return False
         if request.answered_at is None or request.error is None:
@@ -158,24 +158,24 @@
             return keyed
         return disposition.repeatable and self.random.random() < 0.7
 
-    def _transact(self) -> Generator:
+    def _run_transaction(self) -> Generator:
         name = f"{self.name}-t{next(self._numbers)}"
         database = self.random.choice(self.databases)
         fields = {"database": database, "transaction": name}
-        begun = yield from self._ask(Operation.BEGIN, **fields)
+        begun = yield from self._call(Operation.BEGIN, **fields)
         if not begun.succeeded:
             return
         fields["transaction_id"] = self.last_answer.transaction
         for _ in range(self.random.randint(1, 3)):
             if self.random.random() < 0.3:
                 key = f"x-{name}"
-                request = yield from self._ask(Operation.GET, key=key, **fields)
+                request = yield from self._call(Operation.GET, key=key, **fields)
             else:
                 label = f"{self.name}-{next(self._numbers)}"
                 operation = self.random.choice((Operation.PUT, Operation.APPEND))
                 prefix = "p" if operation is Operation.PUT else "a"
                 key = prefix + str(self.random.randrange(4))
-                request = yield from self._ask(
+                request = yield from self._call(
                     operation, key=key, label=label, **fields
                 )
             if not request.succeeded:
@@ -184,9 +184,9 @@
                 return
             yield self.random.uniform(0.0, 0.05)
         ending = Operation.COMMIT if self.random.random() < 0.9 else Operation.ROLLBACK
-        yield from self._ask(ending, **fields)
+        yield from self._call(ending, **fields)
 
-    def _ask(
+    def _call(
         self,
         operation: messages.Operation,
         *,
@@ -258,10 +258,10 @@
             return False
         self._host = self.random.choice(sorted(hosts))
         self._connection = f"{self.name}#{next(self._numbers)}"
-        self._asked.clear()
-        self.context.replies[self._connection] = self._receiver(self._connection)
+        self._sent_requests.clear()
+        self.context.replies[self._connection] = self._make_receiver(self._connection)
         process = self.context.nodes[self._host]
-        process.on_death.append(self._death_watcher(self._connection))
+        process.on_kill.append(self._make_kill_handler(self._connection))
         return True
 
     def _disconnect(self) -> None:
@@ -270,34 +270,34 @@
         connection, self._connection = self._connection, ""
         self.context.replies.pop(connection, None)
         process = self.context.nodes[self._host]
-        gone = base.CallerGone(caller=connection)
+        caller_gone = base.CallerGone(caller=connection)
         delay = self._network.draw_delay(self.name, self._host)
         incarnation = process.incarnation
 
-        def tell() -> None:
+        def notify_node() -> None:
             if process.incarnation == incarnation:
                 for key, caller in list(process.in_flight.items()):
                     if caller == connection:
                         del process.in_flight[key]
-                process.handle(gone)
+                process.handle(caller_gone)
 
-        self._loop.call_later(delay, tell)
+        self._loop.call_later(delay, notify_node)
 
-    def _receiver(self, connection: str) -> Callable:
+    def _make_receiver(self, connection: str) -> Callable:
         def receive(answer: messages.Answer) -> None:
             if connection == self._connection:
                 self._receive(answer)
 
         return receive
 
-    def _death_watcher(self, connection: str) -> Callable:
-        def watch() -> None:
+    def _make_kill_handler(self, connection: str) -> Callable:
+        def handle_kill() -> None:
             self.context.replies.pop(connection, None)
             if connection == self._connection:
                 self._connection = ""
-                self._give_up(self._waiting)
+                self._time_out(self._waiting)
 
-        return watch
+        return handle_kill
 
     def _send(self, call: tuple[histories.Request, messages.Statement]) -> None:
         request, statement = call
@@ -307,7 +307,7 @@
         request.entry = self._host
         request.invoked_at = self._loop.now
         self.context.history.requests.append(request)
-        self._waiting = self._asked[request.id] = request
+        self._waiting = self._sent_requests[request.id] = request
         process = self.context.nodes[self._host]
         connection = self._connection
         incarnation = process.incarnation
@@ -324,11 +324,11 @@
         wait = statement.remaining_seconds + ANSWER_GRACE_SECONDS
         if self.random.random() < 0.01:
             wait = self.random.uniform(0.0, 0.05)
-        self._loop.call_later(wait, self._give_up, request)
+        self._loop.call_later(wait, self._time_out, request)
 
     def _receive(self, answer: messages.Answer) -> None:
         request = self._waiting
-        earlier = self._asked.get(answer.id)
+        earlier = self._sent_requests.get(answer.id)
         if earlier is not None and earlier is not request:
             earlier.answers += 1
             return
@@ -348,7 +348,7 @@
         self._waiting = None
         self._continue(request)
 
-    def _give_up(self, request: histories.Request | None) -> None:
+    def _time_out(self, request: histories.Request | None) -> None:
         """Stop waiting for an answer; the outcome of the request is unknown."""
         if request is None or self._waiting is not request:
             return
--- a/benchmarks/faults/endpoints.py
+++ b/benchmarks/faults/endpoints.py
@@ -18,7 +18,7 @@
 FETCH_SECONDS = 0.02
 """Period at which a replica fetches from its primary."""
 
-BROKEN_SECONDS = 10.0
+KEEPALIVE_SECONDS = 10.0
 """Keepalive timeout of a connection whose node is gone or cut off."""
 
 
@@ -63,8 +63,8 @@
     dead: bool = False
     fetching: bool = True
     connections: dict[str, DataConnection] = attrs.field(factory=dict)
-    _held: list[Callable[[], None]] = attrs.field(factory=list)
-    _life: int = 0
+    _deferred: list[Callable[[], None]] = attrs.field(factory=list)
+    _incarnation: int = 0
 
     @property
     def database(self) -> str:
@@ -81,19 +81,19 @@
         if self.dead:
             return
         if self.paused:
-            self._held.append(step)
+            self._deferred.append(step)
         else:
             step()
 
     def run_later(self, delay: float, step: Callable[[], None]) -> None:
         """Run a step after a delay unless the process was killed in between."""
-        life = self._life
+        incarnation = self._incarnation
 
-        def run_in_same_life() -> None:
-            if life == self._life:
+        def run_if_not_killed() -> None:
+            if incarnation == self._incarnation:
                 self.run(step)
 
-        self.loop.call_later(delay, run_in_same_life)
+        self.loop.call_later(delay, run_if_not_killed)
 
     def pause(self) -> None:
         """Suspend the process; steps are deferred until ``resume``."""
@@ -102,16 +102,16 @@
     def resume(self) -> None:
         """Run the deferred steps and continue."""
         self.paused = False
-        held, self._held = self._held, []
-        for step in held:
+        steps, self._deferred = self._deferred, []
+        for step in steps:
             self.run(step)
 
     def kill(self) -> None:
         """Terminate the process and break its connections; its log persists."""
         self.dead = True
         self.paused = False
-        self._life += 1
-        self._held.clear()
+        self._incarnation += 1
+        self._deferred.clear()
         for connection in list(self.connections.values()):
             self._drop(connection)
             connection.down = network.Channel(
@@ -156,9 +156,9 @@
         """Close a connection at the request of the node."""
         self._drop(connection)
 
-    def watch_broken(self, connection: DataConnection) -> None:
+    def close_after_keepalive(self, connection: DataConnection) -> None:
         """Close a connection whose node is gone when its keepalive expires."""
-        self.run_later(BROKEN_SECONDS, lambda: self._drop(connection))
+        self.run_later(KEEPALIVE_SECONDS, lambda: self._drop(connection))
 
     def _drop(self, connection: DataConnection) -> None:
         if self.connections.pop(connection.id, None) is None:
@@ -285,14 +285,19 @@
         def serve() -> None:
             answer = primary.instance.serve_fetch(request, primary.clock.read())
             primary.network.send(
-                primary.name, self.name, lambda: self.run(lambda: store(answer)), _skip
+                primary.name,
+                self.name,
+                lambda: self.run(lambda: store(answer)),
+                _ignore_unsent,
             )
 
         def store(answer: database.FetchAnswer | None) -> None:
             self.instance.receive_fetch(answer, sent_at, self.clock.read())
 
-        self.network.send(self.name, primary.name, lambda: primary.run(serve), _skip)
+        self.network.send(
+            self.name, primary.name, lambda: primary.run(serve), _ignore_unsent
+        )
 
 
-def _skip() -> None:
+def _ignore_unsent() -> None:
     """Ignore a fetch that could not be sent; the next one follows."""
--- a/benchmarks/faults/nodes.py
+++ b/benchmarks/faults/nodes.py
@@ -77,8 +77,8 @@
     incarnation: int = 0
     core: node.Node | None = None
     in_flight: dict[str, str] = attrs.field(factory=dict)
-    on_death: list[Callable[[], None]] = attrs.field(factory=list)
-    _held: list[base.Event] = attrs.field(factory=list)
+    on_kill: list[Callable[[], None]] = attrs.field(factory=list)
+    _deferred: list[base.Event] = attrs.field(factory=list)
     _connections: dict[str, tuple] = attrs.field(factory=dict)
     _channels: dict[str, tuple] = attrs.field(factory=dict)
     _versions: dict[str, int] = attrs.field(factory=dict)
@@ -110,16 +110,16 @@
         self.alive = False
         self.incarnation += 1
         self.paused = False
-        self._held.clear()
+        self._deferred.clear()
         self.in_flight.clear()
         for connection, endpoint in list(self._connections.values()):
             self._close(connection, endpoint)
-            endpoint.watch_broken(connection)
+            endpoint.close_after_keepalive(connection)
         self._connections.clear()
         self._channels.clear()
-        closed, self.on_death = self.on_death, []
-        for call in closed:
-            call()
+        callbacks, self.on_kill = self.on_kill, []
+        for callback in callbacks:
+            callback()
 
     def pause(self) -> None:
         """Suspend the process; events that arrive are deferred until ``resume``."""
@@ -130,9 +130,9 @@
         if not self.paused:
             return
         self.paused = False
-        held, self._held = self._held, []
-        place = self.random.choice((0, len(held)))
-        for event in (*held[:place], base.Ticked(), *held[place:]):
+        events, self._deferred = self._deferred, []
+        index = self.random.choice((0, len(events)))
+        for event in (*events[:index], base.Ticked(), *events[index:]):
             self.handle(event)
 
     def drain(self) -> None:
@@ -149,7 +149,7 @@
                 self._connections.pop(connection.id, None)
                 connection.up.close()
                 connection.down.close()
-                other.watch_broken(connection)
+                other.close_after_keepalive(connection)
                 self.handle(base.ConnectionClosed(connection=connection.id))
 
     def handle(self, event: base.Event) -> None:
@@ -157,14 +157,14 @@
         if not self.alive:
             return
         if self.paused:
-            self._held.append(event)
+            self._deferred.append(event)
             return
         try:
             actions = self.core.handle(event, self.clock.read())
         except Exception as error:
-            place = traceback.extract_tb(error.__traceback__)[-1]
+            frame = traceback.extract_tb(error.__traceback__)[-1]
             self.context.history.crashes.append(
-                f"{error!r} in {place.name} on {type(event).__name__}"
+                f"{error!r} in {frame.name} on {type(event).__name__}"
             )
             self._trace(traceback.format_exc())
             return
@@ -172,7 +172,7 @@
             self._trace_event(event, actions)
         self._record_versions()
         for action in actions:
-            self._carry_out(action)
+            self._perform(action)
         if self.stopping:
             self._stop_when_idle()
 
@@ -222,12 +222,12 @@
         board = self.core.board
         reads = len(board.hosts) <= 1 or hosts.is_reader(board, HOST_LIST_KEY)
         if reads and not self.paused:
-            receive = self._in_this_life(
+            receive = self._while_alive(
                 lambda rows: self.handle(base.HostListReceived(hosts=rows))
             )
             self.context.host_list.read(self.host, receive)
 
-    def _in_this_life(self, call: Callable) -> Callable:
+    def _while_alive(self, call: Callable) -> Callable:
         """Wrap a callback to do nothing once this incarnation has ended."""
         incarnation = self.incarnation
 
@@ -251,7 +251,7 @@
                     )
                 )
 
-    def _carry_out(self, action: base.Action) -> None:
+    def _perform(self, action: base.Action) -> None:
         match action:
             case base.Reply():
                 self._reply(action)
@@ -260,9 +260,9 @@
             case base.OpenConnection():
                 self._open(action)
             case base.CloseConnection():
-                held = self._connections.pop(action.connection, None)
-                if held is not None:
-                    self._close(*held)
+                pair = self._connections.pop(action.connection, None)
+                if pair is not None:
+                    self._close(*pair)
             case base.Execute():
                 self._execute(action)
             case base.ProbeStatus():
@@ -292,7 +292,7 @@
         data = messages.encode(envelope)
         peer = self.context.nodes.get(action.host)
         unsent = base.PeerUnsent(host=action.host, message=action.message)
-        report_unsent = self._in_this_life(lambda: self.handle(unsent))
+        report_unsent = self._while_alive(lambda: self.handle(unsent))
         if peer is None or not peer.alive:
             if self.random.random() < 0.5:
                 self.context.loop.call_later(0.001, report_unsent)
@@ -316,17 +316,17 @@
             incarnation=self.incarnation,
             up=network.Channel(network=net, sender=self.host, receiver=endpoint.name),
             down=network.Channel(network=net, sender=endpoint.name, receiver=self.host),
-            receive=self._in_this_life(
+            receive=self._while_alive(
                 lambda request_id, answer: self._receive(connection, request_id, answer)
             ),
-            report_closed=self._in_this_life(lambda: self._report_closed(connection)),
+            report_closed=self._while_alive(lambda: self._report_closed(connection)),
         )
         self._connections[connection.id] = (connection, endpoint)
         state = {"open": False}
 
         def accept() -> None:
             accepted = endpoint.accept(connection)
-            connection.down.send(self._in_this_life(lambda: finish(accepted)))
+            connection.down.send(self._while_alive(lambda: finish(accepted)))
 
         def finish(accepted: bool) -> None:
             if state["open"] or connection.id not in self._connections:
@@ -338,10 +338,10 @@
                 fail(True, "the endpoint is full")
 
         def fail(refused: bool, reason: str) -> None:
-            held = self._connections.pop(connection.id, None)
-            if held is None:
+            pair = self._connections.pop(connection.id, None)
+            if pair is None:
                 return
-            self._close(*held)
+            self._close(*pair)
             self.handle(
                 base.ConnectionFailed(
                     connection=connection.id, refused=refused, reason=reason
@@ -388,12 +388,12 @@
         )
 
     def _execute(self, action: base.Execute) -> None:
-        held = self._connections.get(action.connection)
-        if held is None:
+        pair = self._connections.get(action.connection)
+        if pair is None:
             closed = base.ConnectionClosed(connection=action.connection)
             self._schedule(0.0, lambda: self.handle(closed))
             return
-        connection, endpoint = held
+        connection, endpoint = pair
         sent_at = self.context.loop.now
         connection.up.send(
             lambda: endpoint.run(
@@ -420,11 +420,11 @@
                 state["done"] = True
                 report(answer)
 
-        finish_here = self._in_this_life(finish)
+        finish_if_running = self._while_alive(finish)
 
         def serve() -> None:
             answer = call(endpoint)
-            down.send(lambda: finish_here(answer))
+            down.send(lambda: finish_if_running(answer))
 
         up.send(lambda: endpoint.run(serve))
         self._schedule(CALL_TIMEOUT_SECONDS, lambda: finish(None))
@@ -456,7 +456,7 @@
         )
 
     def _call_store(self, action: base.CallStore) -> None:
-        receive = self._in_this_life(
+        receive = self._while_alive(
             lambda result: self.handle(
                 base.StoreAnswered(call_id=action.call_id, result=result)
             )
@@ -468,8 +468,8 @@
             self.context.trace(self.host, text)
 
     def _trace_event(self, event: base.Event, actions: list[base.Action]) -> None:
-        quiet = (base.Ticked, base.StatusReceived, base.HostListReceived)
-        if not isinstance(event, quiet):
+        frequent = (base.Ticked, base.StatusReceived, base.HostListReceived)
+        if not isinstance(event, frequent):
             self._trace(f"< {event}")
         for action in actions:
             if isinstance(action, base.Log):
--- a/benchmarks/faults/operators.py
+++ b/benchmarks/faults/operators.py
@@ -119,7 +119,7 @@
             if answer is not None:
                 attempt.answered_at = self.context.loop.now
                 attempt.error = answer.error
-            if _may_repeat(answer):
+            if _may_retry(answer):
                 self.context.loop.call_later(
                     RETRY_SECONDS, self._send, change, resource, attempts - 1
                 )
@@ -139,7 +139,7 @@
         self.context.loop.call_later(WAIT_SECONDS, receive, None)
 
 
-def _may_repeat(answer: requests.ApiAnswer | None) -> bool:
+def _may_retry(answer: requests.ApiAnswer | None) -> bool:
     """Return whether a change may be retried after an answer or a timeout."""
     if answer is None:
         return True
