--- a/benchmarks/faults/endpoints.py
+++ b/benchmarks/faults/endpoints.py
@@ -28,6 +28,8 @@
 
     Attributes
     ----------
+    up, down : Channel
+        Channels to the endpoint and to the node.
     receive : callable
         Receives (request id, answer) on the node's side.
     report_closed : callable
