--- a/benchmarks/faults/callers.py
+++ b/benchmarks/faults/callers.py
@@ -201,7 +201,7 @@
         request = histories.Request(
             id=f"{self.name}/{next(self._numbers)}",
             session=self._session,
-            entry="",
+            entry_host="",
             database=f"{self.pool}/{database}",
             operation=operation,
             kind=self.kind.name,
@@ -304,7 +304,7 @@
         if not self._connect():
             self._loop.call_later(0.2, self._send, call)
             return
-        request.entry = self._host
+        request.entry_host = self._host
         request.invoked_at = self._loop.now
         self.context.history.requests.append(request)
         self._waiting = self._sent_requests[request.id] = request
--- a/benchmarks/faults/cases.py
+++ b/benchmarks/faults/cases.py
@@ -82,7 +82,7 @@
         return list(self.find_tree(request.database).find(labels[-1])) or None
 
 
-def blame(
+def make_violation(
     guarantee: int, rule: str, request: histories.Request, detail: str = ""
 ) -> Violation:
     return Violation(
@@ -111,7 +111,7 @@
     )
 
 
-def denies(request: histories.Request) -> bool:
+def is_reported_not_run(request: histories.Request) -> bool:
     """Return whether the answer guarantees that the request did not run."""
     if request.answered_at is None or request.error is None:
         return False
--- a/benchmarks/faults/fleet.py
+++ b/benchmarks/faults/fleet.py
@@ -36,13 +36,13 @@
     grace = (LEAVING_SECONDS + cases.TICK_SECONDS) / case.history.slowest_rate
     in_transaction: set[tuple[str, str]] = set()
     for execution in case.history.executions:
-        place = (execution.endpoint, execution.connection)
-        new = place not in in_transaction
+        connection_key = (execution.endpoint, execution.connection)
+        new = connection_key not in in_transaction
         if execution.operation is Operation.BEGIN and execution.succeeded:
-            in_transaction.add(place)
+            in_transaction.add(connection_key)
         ends = execution.operation in (Operation.COMMIT, Operation.ROLLBACK)
         if ends or not execution.succeeded:
-            in_transaction.discard(place)
+            in_transaction.discard(connection_key)
         if not new or execution.operation is Operation.ROLLBACK:
             continue
         changes = spans.get(
@@ -91,16 +91,16 @@
     highest: dict[tuple[str, int, str], int] = {}
     for record in case.history.in_force:
         timelines[record.host, record.pool].append((record.at, record.version))
-        place = (record.host, record.incarnation, record.pool)
-        if record.version < highest.get(place, 0):
+        view_key = (record.host, record.incarnation, record.pool)
+        if record.version < highest.get(view_key, 0):
             yield cases.Violation(
                 guarantee=9,
                 rule="configuration_reverted",
                 subject=record.host,
-                detail=f"{highest[place]} to {record.version}",
+                detail=f"{highest[view_key]} to {record.version}",
                 at=record.at,
             )
-        highest[place] = max(record.version, highest.get(place, 0))
+        highest[view_key] = max(record.version, highest.get(view_key, 0))
     versions: dict[str, int] = {}
     for change in case.history.accepted:
         if change.version <= versions.get(change.pool, 0):
@@ -118,13 +118,13 @@
         for (host, pool), timeline in timelines.items():
             if pool != change.pool or _was_unreachable(case, host, change.at, due):
                 continue
-            held = [version for at, version in timeline if at <= due]
-            if not held or held[-1] < change.version:
+            in_force = [version for at, version in timeline if at <= due]
+            if not in_force or in_force[-1] < change.version:
                 yield cases.Violation(
                     guarantee=9,
                     rule="configuration_late",
                     subject=host,
-                    detail=f"{change.pool} {change.version}, holds {held[-1:]}",
+                    detail=f"{change.pool} {change.version}, holds {in_force[-1:]}",
                     at=due,
                 )
 
@@ -142,7 +142,7 @@
     No change is accepted twice, an acknowledged one is accepted unless it altered
     nothing, a rejected one is not, and no version drops an accepted change.
     """
-    first_held: dict[str, list[float]] = defaultdict(list)
+    accepted_at: dict[str, list[float]] = defaultdict(list)
     previous: dict[str, tuple[str, ...]] = {}
     for accepted in case.history.accepted:
         before = previous.get(accepted.pool, ())
@@ -156,10 +156,10 @@
                 at=accepted.at,
             )
         for change_id in set(accepted.change_ids) - set(before):
-            first_held[change_id.rpartition("-")[0]].append(accepted.at)
+            accepted_at[change_id.rpartition("-")[0]].append(accepted.at)
         previous[accepted.pool] = accepted.change_ids
     for change in case.history.changes:
-        times = first_held.get(change.id, [])
+        times = accepted_at.get(change.id, [])
         yield from _check_change(change, times, _was_in_force(case, change))
 
 
@@ -178,16 +178,18 @@
 def _check_change(
     change: histories.Change, times: list[float], was_in_force: bool
 ) -> Iterator[cases.Violation]:
-    def blame(guarantee: int, rule: str) -> cases.Violation:
+    def make_violation(guarantee: int, rule: str) -> cases.Violation:
         return cases.Violation(
             guarantee=guarantee, rule=rule, subject=change.id, at=change.invoked_at
         )
 
     if len(times) > 1:
-        yield blame(6, "change_accepted_twice")
-    told = [a for a in change.attempts if a.answered_at is not None and a.error is None]
-    if told and not times and not was_in_force:
-        yield blame(9, "acknowledged_change_not_accepted")
+        yield make_violation(6, "change_accepted_twice")
+    acknowledged = [
+        a for a in change.attempts if a.answered_at is not None and a.error is None
+    ]
+    if acknowledged and not times and not was_in_force:
+        yield make_violation(9, "acknowledged_change_not_accepted")
     denied = all(
         attempt.answered_at is not None
         and attempt.error is not None
@@ -195,7 +197,7 @@
         for attempt in change.attempts
     )
     if times and denied:
-        yield blame(5, "denied_change_accepted")
+        yield make_violation(5, "denied_change_accepted")
 
 
 def check_run(case: cases.Case) -> Iterator[cases.Violation]:
--- a/benchmarks/faults/freshness.py
+++ b/benchmarks/faults/freshness.py
@@ -18,31 +18,36 @@
     wrote again before it learned of that. No log then contains all floors, so
     every later read has to be refused.
     """
-    floors: dict[tuple[str, str], list[Position]] = defaultdict(list)
+    floors_by_session: dict[tuple[str, str], list[Position]] = defaultdict(list)
     for request in sorted(case.history.requests, key=lambda r: r.invoked_at):
-        held = floors[request.session, request.database]
+        floors = floors_by_session[request.session, request.database]
         tree = case.find_tree(request.database)
         if request.succeeded and cases.is_write(request):
-            _raise_floors(tree, held, _find_written(case, request))
+            _raise_floors(tree, floors, _find_written(case, request))
         elif cases.is_plain_read(request):
             candidates = case.find_read_entries(request)
             if candidates is None:
                 continue
-            seen = [
+            observed = [
                 entry
                 for entry in candidates
                 if not request.had_token
-                or all(_is_seen(tree, request.key, entry, floor) for floor in held)
+                or all(
+                    _may_observe(tree, request.key, entry, floor) for floor in floors
+                )
             ]
-            if seen:
-                _raise_floors(tree, held, seen)
+            if observed:
+                _raise_floors(tree, floors, observed)
             else:
-                yield cases.blame(
-                    1, "session_went_back", request, f"read {candidates} floors {held}"
+                yield cases.make_violation(
+                    1,
+                    "session_went_back",
+                    request,
+                    f"read {candidates} floors {floors}",
                 )
 
 
-def _is_seen(
+def _may_observe(
     tree: logtree.LogTree, key: str, entry: Position | None, floor: Position
 ) -> bool:
     """Return whether ``entry`` may be a key's last write in a log with ``floor``."""
@@ -67,7 +72,7 @@
 
 
 def _raise_floors(
-    tree: logtree.LogTree, held: list[Position], entries: list[Position | None]
+    tree: logtree.LogTree, floors: list[Position], entries: list[Position | None]
 ) -> None:
     """Add the entry that a session wrote or saw to its floors.
 
@@ -75,10 +80,10 @@
     session observed is then unknown.
     """
     entry = entries[0] if len(set(entries)) == 1 else None
-    if entry is None or any(tree.contains(floor, entry) for floor in held):
+    if entry is None or any(tree.contains(floor, entry) for floor in floors):
         return
-    held[:] = [floor for floor in held if not tree.contains(entry, floor)]
-    held.append(entry)
+    floors[:] = [floor for floor in floors if not tree.contains(entry, floor)]
+    floors.append(entry)
 
 
 def check_bounded_reads(case: cases.Case) -> Iterator[cases.Violation]:
@@ -90,7 +95,9 @@
         bound = request.staleness_seconds / case.history.slowest_rate
         missing = _find_missing(case, request, request.invoked_at - bound - 1e-9)
         if missing is not None:
-            yield cases.blame(1, "read_older_than_bound", request, f"misses {missing}")
+            yield cases.make_violation(
+                1, "read_older_than_bound", request, f"misses {missing}"
+            )
 
 
 def _find_missing(
@@ -109,12 +116,12 @@
     for write in reversed(writes[:number]):
         if any(entry and tree.contains(entry, write) for entry in candidates):
             return None
-        if not _may_lack(case, request, before, write, candidates):
+        if not _may_miss(case, request, before, write, candidates):
             return write
     return None
 
 
-def _may_lack(
+def _may_miss(
     case: cases.Case,
     request: histories.Request,
     since: float,
@@ -154,10 +161,12 @@
             and not any(
                 entry and tree.contains(entry, position) for entry in candidates
             )
-            and not _may_lack(case, request, request.invoked_at, position, candidates)
+            and not _may_miss(case, request, request.invoked_at, position, candidates)
         ]
         if missed:
-            yield cases.blame(1, "strong_read_missed_write", request, f"{missed[-1]}")
+            yield cases.make_violation(
+                1, "strong_read_missed_write", request, f"{missed[-1]}"
+            )
 
 
 def _find_acknowledged(
--- a/benchmarks/faults/histories.py
+++ b/benchmarks/faults/histories.py
@@ -60,7 +60,7 @@
 
     id: str
     session: str
-    entry: str
+    entry_host: str
     database: str
     operation: messages.Operation
     key: str = ""
--- a/benchmarks/faults/isolation.py
+++ b/benchmarks/faults/isolation.py
@@ -58,37 +58,37 @@
         for request in case.history.requests
         if request.label
     }
-    open_on: dict[tuple[str, str], str | None] = {}
+    open_transactions: dict[tuple[str, str], str | None] = {}
     for execution in case.history.executions:
-        place = (execution.endpoint, execution.connection)
+        connection_key = (execution.endpoint, execution.connection)
         if execution.overlapped:
-            yield _blame_execution(execution, "requests_overlap_on_connection", "")
-        current = open_on.get(place)
+            yield _make_violation(execution, "requests_overlap_on_connection", "")
+        current = open_transactions.get(connection_key)
         if execution.operation is Operation.BEGIN:
             if current is not None:
-                yield _blame_execution(
+                yield _make_violation(
                     execution, "begin_inside_transaction", current or "unused"
                 )
-            open_on[place] = "" if execution.succeeded else None
+            open_transactions[connection_key] = "" if execution.succeeded else None
             continue
         ends = execution.operation in (Operation.COMMIT, Operation.ROLLBACK)
         if ends or not execution.succeeded:
-            open_on[place] = None
+            open_transactions[connection_key] = None
             continue
         owner = owners.get(execution.label, "")
         if execution.key.startswith("x-"):
             owner = execution.key.removeprefix("x-")
         if current is None and owner:
-            yield _blame_execution(execution, "statement_outside_transaction", owner)
+            yield _make_violation(execution, "statement_outside_transaction", owner)
         elif current is not None and owner != (current or owner or None):
-            yield _blame_execution(
+            yield _make_violation(
                 execution, "transactions_share_connection", f"{current} {owner}"
             )
         elif current == "":
-            open_on[place] = owner
+            open_transactions[connection_key] = owner
 
 
-def _blame_execution(
+def _make_violation(
     execution: histories.Execution, rule: str, detail: str
 ) -> cases.Violation:
     return cases.Violation(
--- a/benchmarks/faults/logtree.py
+++ b/benchmarks/faults/logtree.py
@@ -37,9 +37,9 @@
             indices = self._writes.setdefault((position.term, key), [])
             if not indices or indices[-1] != position.index:
                 indices.append(position.index)
-            places = self._by_label.setdefault(label, [])
-            if not places or places[-1] != position:
-                places.append(position)
+            positions = self._by_label.setdefault(label, [])
+            if not positions or positions[-1] != position:
+                positions.append(position)
 
     def find(self, label: str) -> list[Position]:
         """Return the positions at which a write was appended."""
--- a/benchmarks/faults/network.py
+++ b/benchmarks/faults/network.py
@@ -29,7 +29,7 @@
     places : dict of str to str
         Place of each party. Links of a party without a place have the delay
         ``caller_seconds``.
-    late_rate, doubled_rate, lost_rate : float
+    delay_rate, duplicate_rate, loss_rate : float
         Fractions of the single messages that are delayed, duplicated or lost.
     """
 
@@ -39,10 +39,10 @@
     local_seconds: float = 0.0005
     region_seconds: float = 0.010
     caller_seconds: float = 0.003
-    late_rate: float = 0.0
-    late_seconds: float = 2.0
-    doubled_rate: float = 0.0
-    lost_rate: float = 0.0
+    delay_rate: float = 0.0
+    longest_delay_seconds: float = 2.0
+    duplicate_rate: float = 0.0
+    loss_rate: float = 0.0
     _cuts: Counter = attrs.field(factory=Counter, init=False)
 
     def cut(self, sender: str, receiver: str) -> None:
@@ -85,13 +85,13 @@
             if self.random.random() < 0.5:
                 self.loop.call_later(UNSENT_SECONDS, report_unsent)
             return
-        if self.random.random() < self.lost_rate:
+        if self.random.random() < self.loss_rate:
             return
-        copies = 2 if self.random.random() < self.doubled_rate else 1
+        copies = 2 if self.random.random() < self.duplicate_rate else 1
         for _ in range(copies):
             delay = self.draw_delay(sender, receiver)
-            if self.random.random() < self.late_rate:
-                longest = self.random.choice((0.1, 1.0)) * self.late_seconds
+            if self.random.random() < self.delay_rate:
+                longest = self.random.choice((0.1, 1.0)) * self.longest_delay_seconds
                 delay += self.random.uniform(0.0, longest)
             self.loop.call_later(delay, self._arrive, sender, receiver, deliver)
 
@@ -122,14 +122,14 @@
         delay = self.network.draw_delay(self.sender, self.receiver)
         self._ready_at = max(self._ready_at, loop.now + delay)
         self._waiting.append((self._ready_at, deliver))
-        loop.call_at(self._ready_at, self._pump)
+        loop.call_at(self._ready_at, self._deliver_due)
 
     def close(self) -> None:
         """Close the channel and discard what has not been delivered."""
         self.closed = True
         self._waiting.clear()
 
-    def _pump(self) -> None:
+    def _deliver_due(self) -> None:
         loop = self.network.loop
         while self._waiting and self._waiting[0][0] <= loop.now:
             if self.network.is_cut(self.sender, self.receiver):
@@ -142,4 +142,4 @@
 
     def _resend(self) -> None:
         self._resending = False
-        self._pump()
+        self._deliver_due()
--- a/benchmarks/faults/outcomes.py
+++ b/benchmarks/faults/outcomes.py
@@ -16,18 +16,18 @@
     """
     for request in case.history.requests:
         if request.answers > 1:
-            yield cases.blame(4, "answered_twice", request)
+            yield cases.make_violation(4, "answered_twice", request)
         if request.answered_at is None:
             continue
         if request.answered_id != request.id:
-            yield cases.blame(
+            yield cases.make_violation(
                 4, "answer_of_other_request", request, request.answered_id
             )
         if request.forged and request.succeeded:
-            yield cases.blame(1, "forged_token_accepted", request)
+            yield cases.make_violation(1, "forged_token_accepted", request)
         refused = request.error is exceptions.ErrorKind.BAD_TOKEN
         if refused and not request.forged:
-            yield cases.blame(1, "genuine_token_refused", request)
+            yield cases.make_violation(1, "genuine_token_refused", request)
         if request.succeeded and request.operation is Operation.GET:
             yield from _check_value(case, request)
 
@@ -39,7 +39,7 @@
         return
     labels = histories.parse_value(request.database, request.key, request.value)
     if labels is None:
-        yield cases.blame(4, "value_of_other_request", request, request.value)
+        yield cases.make_violation(4, "value_of_other_request", request, request.value)
         return
     if request.transaction:
         return
@@ -56,13 +56,13 @@
         ]
         if logged[-len(labels) :] == labels:
             return
-    yield cases.blame(4, "value_not_in_any_log", request, request.value)
+    yield cases.make_violation(4, "value_not_in_any_log", request, request.value)
 
 
 def check_not_run(case: cases.Case) -> Iterator[cases.Violation]:
     """Check that a write reported as not run has no entry in any log."""
     for request in case.history.requests:
-        if request.error is None or not cases.denies(request):
+        if request.error is None or not cases.is_reported_not_run(request):
             continue
         if request.operation is Operation.COMMIT:
             attempts = [
@@ -79,7 +79,7 @@
             for position in tree.find(label):
                 entry = tree.entries[position]
                 if not _is_explained(entry, request, attempts):
-                    yield cases.blame(
+                    yield cases.make_violation(
                         5, "ran_after_not_run", request, f"{request.error} {position}"
                     )
 
@@ -93,7 +93,7 @@
     return entry.executed_at < request.invoked_at or any(
         other is not request
         and other.invoked_at <= entry.executed_at
-        and not cases.denies(other)
+        and not cases.is_reported_not_run(other)
         for other in attempts
     )
 
@@ -110,7 +110,9 @@
         for position in positions:
             written = [name for _, name in tree.entries[position].writes]
             if written.count(label) > 1:
-                yield cases.blame(6, "ran_twice", request, f"twice in {position}")
+                yield cases.make_violation(
+                    6, "ran_twice", request, f"twice in {position}"
+                )
         pairs = [
             (first, second)
             for number, second in enumerate(positions)
@@ -119,7 +121,7 @@
         for first, second in pairs:
             nested = tree.contains(second, first) or tree.contains(first, second)
             if nested or not request.idempotency_key:
-                yield cases.blame(6, "ran_twice", request, f"{first} {second}")
+                yield cases.make_violation(6, "ran_twice", request, f"{first} {second}")
 
 
 def check_acknowledgements(case: cases.Case) -> Iterator[cases.Violation]:
@@ -132,21 +134,23 @@
         for label in case.find_labels(request):
             positions = tree.find(label)
             if not positions:
-                yield cases.blame(2, "acknowledged_but_not_written", request)
+                yield cases.make_violation(2, "acknowledged_but_not_written", request)
                 continue
             survives = any(tree.contains(survivor, position) for position in positions)
             if request.acknowledge == "majority":
-                lacking = _find_lacking_terms(case, request, positions)
-                if not survives or lacking:
-                    detail = f"{positions} not in terms {lacking}"
-                    yield cases.blame(2, "majority_write_lost", request, detail)
+                missing_terms = _find_missing_terms(case, request, positions)
+                if not survives or missing_terms:
+                    detail = f"{positions} not in terms {missing_terms}"
+                    yield cases.make_violation(
+                        2, "majority_write_lost", request, detail
+                    )
             elif not survives and _was_replaced(case, request, positions):
-                yield cases.blame(
+                yield cases.make_violation(
                     2, "acknowledged_by_replaced_primary", request, f"{positions}"
                 )
 
 
-def _find_lacking_terms(
+def _find_missing_terms(
     case: cases.Case, request: histories.Request, positions: list[Position]
 ) -> list[int]:
     """Return the terms since the acknowledgement whose log lacks the write."""
@@ -206,12 +210,12 @@
             )
     primaries: dict[tuple[str, int], str] = {}
     for promotion in case.history.promotions:
-        place = (promotion.database, promotion.term)
-        if primaries.setdefault(place, promotion.endpoint) != promotion.endpoint:
+        term_key = (promotion.database, promotion.term)
+        if primaries.setdefault(term_key, promotion.endpoint) != promotion.endpoint:
             yield cases.Violation(
                 guarantee=2,
                 rule="two_primaries_in_one_term",
                 subject=promotion.database,
-                detail=f"{primaries[place]} {promotion.endpoint}",
+                detail=f"{primaries[term_key]} {promotion.endpoint}",
                 at=promotion.at,
             )
--- a/benchmarks/faults/plan.py
+++ b/benchmarks/faults/plan.py
@@ -52,7 +52,7 @@
 
     Attributes
     ----------
-    only : tuple of str
+    allowed : tuple of str
         Names of the faults to choose from, empty for all.
     flood : callable
         Starts a burst of load; takes its duration in seconds.
@@ -68,7 +68,7 @@
     flood: Callable[[float], None]
     edit: Callable[[], None]
     leave: Callable[[str, bool], None]
-    only: tuple[str, ...] = ()
+    allowed: tuple[str, ...] = ()
     counts: dict[str, int] = attrs.field(factory=dict)
 
     def run(self, start: float, end: float) -> None:
@@ -77,7 +77,7 @@
         Faults end by ``end``, except those of a fixed duration, which end at
         most ``OVERRUN_SECONDS`` later.
         """
-        names = [name for name in FAULTS if not self.only or name in self.only]
+        names = [name for name in FAULTS if not self.allowed or name in self.allowed]
         time = start
         while True:
             time += self.random.expovariate(1.0 / GAP_SECONDS)
@@ -132,22 +132,22 @@
         return heal
 
     def _cut_pair(self, seconds: float) -> Callable:
-        one, other = self.random.sample(self._list_parties(), 2)
-        return self._cut_links([(one, other), (other, one)], seconds)
+        first, second = self.random.sample(self._list_parties(), 2)
+        return self._cut_links([(first, second), (second, first)], seconds)
 
     def _cut_one_way(self, seconds: float) -> Callable:
-        one, other = self.random.sample(self._list_parties(), 2)
-        return self._cut_links([(one, other)], seconds)
+        first, second = self.random.sample(self._list_parties(), 2)
+        return self._cut_links([(first, second)], seconds)
 
     def _cut_groups(self, inner: set[str], outer: set[str], seconds: float) -> Callable:
-        way = self.random.choice(("both", "both", "in", "out"))
+        direction = self.random.choice(("both", "both", "in", "out"))
         links = []
-        for one in sorted(inner):
-            for other in sorted(outer - inner):
-                if way in ("both", "out"):
-                    links.append((one, other))
-                if way in ("both", "in"):
-                    links.append((other, one))
+        for inside in sorted(inner):
+            for outside in sorted(outer - inner):
+                if direction in ("both", "out"):
+                    links.append((inside, outside))
+                if direction in ("both", "in"):
+                    links.append((outside, inside))
         return self._cut_links(links, seconds)
 
     def _isolate(self, seconds: float) -> Callable:
@@ -172,14 +172,14 @@
         primary = self._choose_primary()
         others = {name for name in primary.peers if name != primary.name}
         hosts = [connection.host for connection in primary.connections.values()]
-        server = max(sorted(set(hosts)), key=hosts.count) if hosts else ""
+        serving_host = max(sorted(set(hosts)), key=hosts.count) if hosts else ""
         if self.random.random() < 0.5:
             # The promoting node then cannot fence the primary, which is still used.
-            others.update(name for name in self.context.nodes if name != server)
+            others.update(name for name in self.context.nodes if name != serving_host)
         heal = self._cut_groups({primary.name}, others, 9.0)
         self.context.loop.call_later(9.0, heal)
-        if server:
-            process = self.context.nodes[server]
+        if serving_host:
+            process = self.context.nodes[serving_host]
             begin = self.random.uniform(1.0, 2.3)
             pause = self.random.uniform(0.8, 4.0)
             self.context.loop.call_later(begin, self._pause_for, process, pause)
@@ -206,10 +206,10 @@
     def _disturb_messages(self, seconds: float) -> Callable:
         self._trace("messages are delayed, duplicated, reordered and lost")
         net = self.context.network
-        net.late_rate, net.doubled_rate, net.lost_rate = 0.2, 0.2, 0.03
+        net.delay_rate, net.duplicate_rate, net.loss_rate = 0.2, 0.2, 0.03
 
         def restore() -> None:
-            net.late_rate, net.doubled_rate, net.lost_rate = 0.0, 0.0, 0.0
+            net.delay_rate, net.duplicate_rate, net.loss_rate = 0.0, 0.0, 0.0
 
         return restore
 
@@ -255,9 +255,9 @@
             return None
         self._trace(f"kill {process.host} for {seconds:.3f} s")
         process.kill()
-        return self._restarter(process)
+        return self._make_restart(process)
 
-    def _restarter(self, process: nodes.NodeProcess) -> Callable:
+    def _make_restart(self, process: nodes.NodeProcess) -> Callable:
         def restart() -> None:
             if not process.alive:
                 self._trace(f"restart {process.host}")
@@ -328,10 +328,10 @@
     def _lose_store_answers(self, seconds: float) -> Callable:
         self._trace(f"store loses answers for {seconds:.3f} s")
         target = self.context.store
-        target.lost_rate = 0.5
+        target.loss_rate = 0.5
 
         def recover() -> None:
-            target.lost_rate = 0.0
+            target.loss_rate = 0.0
 
         return recover
 
--- a/benchmarks/faults/store.py
+++ b/benchmarks/faults/store.py
@@ -33,7 +33,7 @@
         Calls are neither executed nor answered.
     slow_seconds : float
         Time added to each call.
-    lost_rate : float
+    loss_rate : float
         Fraction of the answers that are lost after the call took effect.
     """
 
@@ -43,12 +43,12 @@
     history: histories.History
     down: bool = False
     slow_seconds: float = 0.0
-    lost_rate: float = 0.0
+    loss_rate: float = 0.0
     calls: int = 0
     revision: int = 0
     entries: dict[str, platform.Entry] = attrs.field(factory=dict)
     _leases: dict[int, float] = attrs.field(factory=dict)
-    _bound: dict[str, int] = attrs.field(factory=dict)
+    _lease_by_key: dict[str, int] = attrs.field(factory=dict)
     _watches: list = attrs.field(factory=list)
 
     def call(self, host: str, operation, answer: Callable) -> None:
@@ -62,7 +62,7 @@
                 answer(value)
 
         def reply(value) -> None:
-            if self.down or self.random.random() < self.lost_rate:
+            if self.down or self.random.random() < self.loss_rate:
                 return
             if self.network.is_cut(NAME, host):
                 return
@@ -85,7 +85,7 @@
         self.revision += 1
         entry = platform.Entry(key=key, value=value, revision=self.revision)
         self.entries[key] = entry
-        self._bound[key] = lease
+        self._lease_by_key[key] = lease
         self._record(key, value)
         waiting, self._watches = self._watches, []
         for prefix, after, reply in waiting:
@@ -170,9 +170,9 @@
     def _expire(self) -> None:
         for lease in [k for k, end in self._leases.items() if end <= self.loop.now]:
             del self._leases[lease]
-        for key, lease in list(self._bound.items()):
+        for key, lease in list(self._lease_by_key.items()):
             if lease and lease not in self._leases:
-                del self._bound[key]
+                del self._lease_by_key[key]
                 self.entries.pop(key, None)
 
 
@@ -199,9 +199,9 @@
         """Send the list to a host; there is no answer over a cut link."""
         if not self.network.connects(host, HOST_LIST_NAME):
             return
-        seen = self._versions[0][1]
+        visible = self._versions[0][1]
         for at, hosts in self._versions:
             if at + self.lag_seconds <= self.loop.now:
-                seen = hosts
+                visible = hosts
         delay = self.network.draw_delay(host, HOST_LIST_NAME)
-        self.loop.call_later(2 * delay, answer, seen)
+        self.loop.call_later(2 * delay, answer, visible)
--- a/benchmarks/faults/tests/test_checker.py
+++ b/benchmarks/faults/tests/test_checker.py
@@ -47,7 +47,7 @@
             **{
                 "id": f"r{number}",
                 "session": "s",
-                "entry": "h",
+                "entry_host": "h",
                 "database": DATABASE,
                 "operation": operation,
                 "key": "k",
--- a/benchmarks/faults/world.py
+++ b/benchmarks/faults/world.py
@@ -134,9 +134,9 @@
                 for kind in kinds
             )
         )
-    even = dict.fromkeys(PARTNERS, 0.5)
+    equal_shares = dict.fromkeys(PARTNERS, 0.5)
     specs[resources.ResourceKind.SPLIT, "split"] = resources.SplitSpec(
-        capacity=even, bill=even
+        capacity=equal_shares, bill=equal_shares
     )
     return resources.Document(
         pool=POOL,
@@ -158,7 +158,7 @@
         self.random = random.Random(options.seed)
         self.loop = clocks.EventLoop()
         self.history = histories.History(slowest_rate=1.0 - RATE_SPREAD)
-        net = network.Network(loop=self.loop, random=self._fork())
+        net = network.Network(loop=self.loop, random=self._derive_random())
         self.context = nodes.RunContext(
             loop=self.loop,
             network=net,
@@ -166,7 +166,7 @@
             store=store.FakeStore(
                 loop=self.loop,
                 network=net,
-                random=self._fork(),
+                random=self._derive_random(),
                 history=self.history,
             ),
             host_list=store.FakeHostList(loop=self.loop, network=net),
@@ -179,17 +179,20 @@
             self._make_caller(f"c{n}", options.kinds[n % len(options.kinds)])
             for n in range(options.callers)
         ]
-        staff = operators.Operators(
-            pool=POOL, partners=PARTNERS, random=self._fork(), context=self.context
+        pool_operators = operators.Operators(
+            pool=POOL,
+            partners=PARTNERS,
+            random=self._derive_random(),
+            context=self.context,
         )
         self.injector = plan.Injector(
             context=self.context,
-            random=self._fork(),
+            random=self._derive_random(),
             callers=tuple(caller.name for caller in self.callers),
-            only=options.faults,
+            allowed=options.faults,
             flood=self._flood,
-            edit=staff.edit,
-            leave=staff.set_leaving,
+            edit=pool_operators.edit,
+            leave=pool_operators.set_leaving,
         )
 
     def run(self) -> Outcome:
@@ -239,7 +242,7 @@
 
     # Construction.
 
-    def _fork(self) -> random.Random:
+    def _derive_random(self) -> random.Random:
         return random.Random(self.random.getrandbits(64))
 
     def _make_clock(self) -> clocks.SkewedClock:
@@ -260,7 +263,7 @@
                     loop=self.loop,
                     clock=self._make_clock(),
                     network=self.context.network,
-                    random=self._fork(),
+                    random=self._derive_random(),
                     history=self.history,
                     instance=database.Instance(
                         name=full,
@@ -288,7 +291,7 @@
                 place=place,
                 region=place,
                 clock=self._make_clock(),
-                random=self._fork(),
+                random=self._derive_random(),
                 context=self.context,
                 prepare=self._prepare,
             )
@@ -316,7 +319,7 @@
             partner=self.random.choice(PARTNERS),
             databases=DATABASES,
             kind=kind,
-            random=self._fork(),
+            random=self._derive_random(),
             context=self.context,
         )
 
@@ -337,16 +340,18 @@
     def _sample(self) -> None:
         """Record which nodes are reachable, every ``SAMPLE_SECONDS``."""
         alive = [process for process in self.context.nodes.values() if process.alive]
-        everyone = True
+        all_reachable = True
         for process in self.context.nodes.values():
             reachable = self._is_reachable(process, alive)
-            everyone = everyone and reachable
+            all_reachable = all_reachable and reachable
             self._set_reachable(process.host, reachable)
-        platform = self.context.store
-        well = not (platform.down or platform.slow_seconds or platform.lost_rate)
+        fake_store = self.context.store
+        store_healthy = not (
+            fake_store.down or fake_store.slow_seconds or fake_store.loss_rate
+        )
         # While the store is unavailable, a change known only to the node that
         # committed it reaches the others when that node or the store is back.
-        for host in () if well or everyone else self.context.nodes:
+        for host in () if store_healthy or all_reachable else self.context.nodes:
             self._set_reachable(host, False)
         self.loop.call_later(SAMPLE_SECONDS, self._sample)
 
