--- a/benchmarks/faults/tests/test_checker.py
+++ b/benchmarks/faults/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker finds each broken guarantee in a history made by hand."""
+"""Tests of the checker on handwritten histories, one per broken guarantee."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 class Builder:
-    """Builds a history of one database, one call a step of time."""
+    """Builds the history of one database; each call advances the time."""
 
     def __init__(self):
         self.history = histories.History(end=1000.0)
@@ -41,7 +41,7 @@
         return position
 
     def request(self, operation, *, error=None, answered=True, **fields):
-        """Add a request that is invoked and answered now."""
+        """Add a request that is invoked and, unless told otherwise, answered now."""
         number = len(self.history.requests)
         request = histories.Request(
             **{
@@ -63,7 +63,7 @@
         return request
 
     def write(self, label, **fields):
-        """Add an acknowledged put with its entry."""
+        """Add an acknowledged put and its log entry."""
         invoked = self.tick()
         log = {name: fields.pop(name) for name in ("term", "parent") if name in fields}
         position = self.append(label, **log)
@@ -79,7 +79,7 @@
         return self.request(Operation.GET, **fields)
 
     def execute(self, operation, connection="c", label="", key="k", **fields):
-        """Add a request that an endpoint ran."""
+        """Add a request that an endpoint executed."""
         at = self.tick()
         self.history.executions.append(
             histories.Execution(
@@ -138,7 +138,7 @@
 
 
 def build_stale_read_of_other_key(b):
-    # The session saw the second write of ``k`` through its later write of ``j``.
+    # The later write of ``j`` makes the session depend on the second write of ``k``.
     b.write("w1", session="writer")
     b.write("w2", session="writer")
     b.append("w3", key="j")
@@ -154,7 +154,7 @@
 
 
 def build_read_after_crossing(b):
-    # The new branch lacks the session's second write, the old one its third.
+    # The new branch lacks the second write of the session, the old one the third.
     first = b.write("w1")
     b.write("w2", acknowledge="confirmed")
     b.write("w3", term=2, parent=first)
@@ -192,7 +192,7 @@
 
 
 def build_returned_majority_write(b, acknowledge="majority"):
-    # Term 2 lacks the second write; term 3 starts from a log that still has it.
+    # Term 2 lacks the second write; term 3 starts from a log that contains it.
     first = b.write("w1", session="writer")
     second = b.write("w2", session="writer", acknowledge=acknowledge)
     _promote(b, 2)
@@ -217,7 +217,7 @@
 
 
 def _acknowledge_repeat(b, endpoint, kept):
-    """Let a repeat be acknowledged in term 2 and lost in term 3."""
+    """Add a retry that is acknowledged in term 2 and lost in term 3."""
     first = b.write("w1")
     second = b.append("w2", term=1)
     b.history.promotions.append(
@@ -541,7 +541,7 @@
 
 
 def test_accepts_correct_history():
-    # Guards against a check that reports what the guarantees allow.
+    # Guards against a check that reports an allowed history.
     builder = Builder()
     build_correct(builder)
     assert builder.find_rules() == set()
@@ -564,14 +564,14 @@
     ],
 )
 def test_every_kind_that_denies_execution_is_checked(kind):
-    # Guards against an error kind whose promise nobody checks.
+    # Guards against an error kind that denies execution but is not checked.
     builder = Builder()
     build_denied_write(builder, kind)
     assert "ran_after_not_run" in builder.find_rules()
 
 
 def test_repeat_after_not_run_may_run():
-    # Guards against blaming the refused attempt for the repeat's entry.
+    # Guards against attributing the entry of a retry to the refused attempt.
     builder = Builder()
     builder.request(Operation.APPEND, label="w1", error=ErrorKind.NOT_RUN)
     builder.write("w1")
@@ -579,16 +579,16 @@
 
 
 def test_repeat_is_allowed_at_the_primary_that_holds_its_first_outcome():
-    # Seed 5017 (60 s, 18 callers): the primary of term 4 acknowledged a repeat whose
-    # first outcome lay in its log under term 2; a later term lost it, as may happen
-    # with ``confirmed``.
+    # Seed 5017 (60 s, 18 callers): the primary of term 4 acknowledged a retry whose
+    # entry was in its log under term 2. A later term lost the entry, which the mode
+    # ``confirmed`` allows.
     builder = Builder()
     _acknowledge_repeat(builder, endpoint="b", kept=True)
     assert builder.find_rules() == set()
 
 
 def test_lost_confirmed_write_is_allowed_before_the_promotion():
-    # Guards against a check stricter than the mode ``confirmed``.
+    # Guards against a check that is stricter than the mode ``confirmed``.
     builder = Builder()
     first = builder.write("w1")
     builder.write("w2", acknowledge="confirmed", session="other")
@@ -602,14 +602,14 @@
 
 
 def test_read_may_lack_a_confirmed_write_that_its_term_discarded():
-    # Guards against blaming a read for a write that a later term brought back.
+    # Guards against requiring a read to see a write that only a later term restored.
     builder = Builder()
     build_returned_majority_write(builder, acknowledge="confirmed")
     assert builder.find_rules() == set()
 
 
 def test_unreachable_node_may_be_late():
-    # Guards against blaming a node that was cut off.
+    # Guards against reporting a node that was unreachable.
     builder = Builder()
     build_late_configuration(builder)
     span = histories.Unreachable(host="h", start=13.0, end=14.0)
@@ -618,7 +618,7 @@
 
 
 def test_value_round_trip():
-    # Guards against a value format that hides a mixed-up answer.
+    # Guards against a value format in which an answer to another request looks valid.
     first = histories.make_value(DATABASE, "k", "a")
     second = histories.make_value(DATABASE, "k", "b")
     assert histories.parse_value(DATABASE, "k", f"{first},{second}") == ["a", "b"]
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,11 +1,11 @@
-"""Runs of the core under faults, and broken cores that the checker must find."""
+"""Fault runs of the core, and of broken variants that the checker must detect."""
 
 import pytest
 
 from benchmarks.faults import variants, world
 
 SEEDS = (1, 6, 8, 60)
-"""Seeds that once found a fault of the core; docs/faults.md lists them."""
+"""Seeds that exposed a fault of the core; docs/faults.md lists them."""
 
 PROMOTION_FAULTS = (
     "isolate_primary",
@@ -61,12 +61,12 @@
     ),
     "stop_at_once": ((1, 2, 3), 10, 9, ("drain_node", "flood")),
 }
-"""Seeds, seconds, callers and faults for each variant; one seed must find it."""
+"""Seeds, seconds, callers and faults of each variant; one seed must detect it."""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_core_keeps_the_guarantees(seed):
-    """Guards against a broken guarantee under all kinds of faults."""
+    """Guards against a guarantee that is broken under any kind of fault."""
     outcome = world.run_seed(
         world.Options(seed=seed, seconds=12.0, settle_seconds=12.0)
     )
@@ -74,7 +74,7 @@
 
 
 def test_same_seed_gives_the_same_run():
-    """Guards against a failure that cannot be replayed."""
+    """Guards against failures that cannot be reproduced from their seed."""
     options = world.Options(seed=3, seconds=5.0, settle_seconds=2.0)
     first, second = world.run_seed(options), world.run_seed(options)
     assert first.history == second.history
