--- a/benchmarks/faults/tests/test_checker.py
+++ b/benchmarks/faults/tests/test_checker.py
@@ -153,7 +153,7 @@
     b.read("w3")
 
 
-def build_read_after_crossing(b):
+def build_read_of_old_branch_after_failover(b):
     # The new branch lacks the second write of the session, the old one the third.
     first = b.write("w1")
     b.write("w2", acknowledge="confirmed")
@@ -161,7 +161,7 @@
     b.read("w2")
 
 
-def build_read_of_new_branch_after_crossing(b):
+def build_read_of_new_branch_after_failover(b):
     first = b.write("w1")
     b.write("w2", acknowledge="confirmed")
     b.write("w3", term=2, parent=first)
@@ -183,7 +183,7 @@
     b.write("w3", term=2, parent=first, session="other")
 
 
-def _promote(b, term):
+def _add_promotion(b, term):
     b.history.promotions.append(
         histories.Promotion(
             database=DATABASE, endpoint=f"e{term}", term=term, at=b.tick()
@@ -191,16 +191,16 @@
     )
 
 
-def build_returned_majority_write(b, acknowledge="majority"):
+def build_restored_majority_write(b, acknowledge="majority"):
     # Term 2 lacks the second write; term 3 starts from a log that contains it.
     first = b.write("w1", session="writer")
     second = b.write("w2", session="writer", acknowledge=acknowledge)
-    _promote(b, 2)
+    _add_promotion(b, 2)
     b.append("w3", key="j", term=2, parent=first)
     b.tick(10)
     for consistency in (messages.Consistency.STRONG, messages.Consistency.BOUNDED):
         b.read("w1", session="reader", had_token=False, consistency=consistency)
-    _promote(b, 3)
+    _add_promotion(b, 3)
     b.append("w4", key="j", term=3, parent=second)
 
 
@@ -242,7 +242,7 @@
     _acknowledge_repeat(b, endpoint="b", kept=False)
 
 
-def build_phantom_acknowledgement(b):
+def build_acknowledgement_without_entry(b):
     b.request(Operation.PUT, label="w1")
 
 
@@ -316,12 +316,12 @@
     b.request(Operation.PUT, label="w", error=ErrorKind.NOT_RUN, answers=2)
 
 
-def build_foreign_value(b):
+def build_value_of_other_key(b):
     b.write("w1")
     b.read(value=histories.make_value(DATABASE, "other", "w1"))
 
 
-def build_cut_value(b):
+def build_truncated_value(b):
     b.write("w1")
     b.read(value=histories.make_value(DATABASE, "k", "w1")[:-3])
 
@@ -353,7 +353,7 @@
     b.append("w1")
 
 
-def build_doubled_append(b):
+def build_duplicate_append(b):
     b.write("w1")
     b.append("w1")
 
@@ -365,7 +365,7 @@
     b.append("w1", term=2, parent=first)
 
 
-def build_doubled_keyed_append(b):
+def build_duplicate_keyed_append(b):
     b.request(Operation.APPEND, label="w1", idempotency_key="i", answered=False)
     b.append("w1")
     b.append("w1")
@@ -384,13 +384,13 @@
     )
 
 
-def build_weak_strong_read(b):
+def build_stale_strong_read(b):
     b.write("w1")
     b.write("w2")
     b.read("w1", session="reader", consistency=messages.Consistency.STRONG)
 
 
-def _declare(b, version, *leaving, change_ids=()):
+def _accept_configuration(b, version, *leaving, change_ids=()):
     change = histories.ConfigurationAccepted(
         pool="pool",
         version=version,
@@ -401,7 +401,7 @@
     b.history.accepted.append(change)
 
 
-def _apply(b, version, incarnation=1):
+def _use_configuration(b, version, incarnation=1):
     b.history.in_force.append(
         histories.ConfigurationInForce(
             host="h",
@@ -414,41 +414,41 @@
 
 
 def build_leaving_endpoint(b):
-    _declare(b, 1, "pool/db/a")
-    _apply(b, 1)
+    _accept_configuration(b, 1, "pool/db/a")
+    _use_configuration(b, 1)
     b.tick(5)
     b.execute(Operation.GET)
 
 
-def build_cut_drain(b):
+def build_drain_with_open_request(b):
     b.history.stopped.append(
         histories.Stopped(host="h", at=b.tick(), in_flight=("r1",))
     )
 
 
 def build_late_configuration(b):
-    _declare(b, 1)
-    _apply(b, 1)
+    _accept_configuration(b, 1)
+    _use_configuration(b, 1)
     b.tick(10)
-    _declare(b, 2)
+    _accept_configuration(b, 2)
     b.tick(7)
-    _apply(b, 2)
+    _use_configuration(b, 2)
 
 
 def build_reverted_configuration(b):
-    _declare(b, 1)
-    _declare(b, 2)
-    _apply(b, 2)
+    _accept_configuration(b, 1)
+    _accept_configuration(b, 2)
+    _use_configuration(b, 2)
     b.tick()
-    _apply(b, 1)
+    _use_configuration(b, 1)
 
 
 def build_reverted_store(b):
-    _declare(b, 2)
-    _declare(b, 1)
+    _accept_configuration(b, 2)
+    _accept_configuration(b, 1)
 
 
-def _change(b, error=None):
+def _add_change(b, error=None):
     change = histories.Change(id="edit", pool="pool", invoked_at=b.tick())
     attempt = histories.Attempt(sent_at=b.now, answered_at=b.tick(), error=error)
     change.attempts.append(attempt)
@@ -456,26 +456,26 @@
 
 
 def build_lost_change(b):
-    _declare(b, 1)
-    _change(b)
+    _accept_configuration(b, 1)
+    _add_change(b)
 
 
 def build_denied_change(b):
-    _declare(b, 1)
-    _declare(b, 2, change_ids=("edit-1",))
-    _change(b, ErrorKind.CONFLICT)
+    _accept_configuration(b, 1)
+    _accept_configuration(b, 2, change_ids=("edit-1",))
+    _add_change(b, ErrorKind.CONFLICT)
 
 
-def build_doubled_change(b):
-    _declare(b, 1, change_ids=("edit-1",))
-    _declare(b, 2)
-    _declare(b, 3, change_ids=("edit-1",))
-    _change(b)
+def build_duplicate_change(b):
+    _accept_configuration(b, 1, change_ids=("edit-1",))
+    _accept_configuration(b, 2)
+    _accept_configuration(b, 3, change_ids=("edit-1",))
+    _add_change(b)
 
 
 def build_dropped_change(b):
-    _declare(b, 1, change_ids=("edit-1",))
-    _declare(b, 2, change_ids=("other-1",))
+    _accept_configuration(b, 1, change_ids=("edit-1",))
+    _accept_configuration(b, 2, change_ids=("other-1",))
 
 
 def build_stalled(b):
@@ -492,16 +492,16 @@
     build_non_monotonic_read: "session_went_back",
     build_stale_read_of_other_key: "session_went_back",
     build_discarded_state_read: "session_went_back",
-    build_read_after_crossing: "session_went_back",
-    build_read_of_new_branch_after_crossing: "session_went_back",
+    build_read_of_old_branch_after_failover: "session_went_back",
+    build_read_of_new_branch_after_failover: "session_went_back",
     build_forged_token: "forged_token_accepted",
     build_refused_token: "genuine_token_refused",
     build_lost_majority_write: "majority_write_lost",
-    build_returned_majority_write: "majority_write_lost",
+    build_restored_majority_write: "majority_write_lost",
     build_replaced_primary: "acknowledged_by_replaced_primary",
     build_repeat_acknowledged_by_replaced_primary: "acknowledged_by_replaced_primary",
     build_repeat_acknowledged_without_its_entry: "acknowledged_by_replaced_primary",
-    build_phantom_acknowledgement: "acknowledged_but_not_written",
+    build_acknowledgement_without_entry: "acknowledged_but_not_written",
     build_two_logs: "two_logs_in_one_term",
     build_two_primaries: "two_primaries_in_one_term",
     build_shared_connection: "transactions_share_connection",
@@ -514,26 +514,26 @@
     build_uncommitted_write: "write_left_transaction",
     build_wrong_answer: "answer_of_other_request",
     build_second_answer: "answered_twice",
-    build_foreign_value: "value_of_other_request",
-    build_cut_value: "value_of_other_request",
+    build_value_of_other_key: "value_of_other_request",
+    build_truncated_value: "value_of_other_request",
     build_incomplete_list: "value_not_in_any_log",
     build_unwritten_value: "value_not_in_any_log",
     build_denied_write: "ran_after_not_run",
     build_late_denied_write: "ran_after_not_run",
     build_denied_commit: "ran_after_not_run",
-    build_doubled_append: "ran_twice",
+    build_duplicate_append: "ran_twice",
     build_append_on_two_branches: "ran_twice",
-    build_doubled_keyed_append: "ran_twice",
+    build_duplicate_keyed_append: "ran_twice",
     build_old_bounded_read: "read_older_than_bound",
-    build_weak_strong_read: "strong_read_missed_write",
+    build_stale_strong_read: "strong_read_missed_write",
     build_leaving_endpoint: "work_sent_to_leaving_endpoint",
-    build_cut_drain: "drain_cut_requests",
+    build_drain_with_open_request: "drain_cut_requests",
     build_late_configuration: "configuration_late",
     build_reverted_configuration: "configuration_reverted",
     build_reverted_store: "store_reverted",
     build_lost_change: "acknowledged_change_not_accepted",
     build_denied_change: "denied_change_accepted",
-    build_doubled_change: "change_accepted_twice",
+    build_duplicate_change: "change_accepted_twice",
     build_dropped_change: "accepted_change_dropped",
     build_stalled: "no_recovery",
     build_crash: "core_raised",
@@ -604,7 +604,7 @@
 def test_read_may_lack_a_confirmed_write_that_its_term_discarded():
     # Guards against requiring a read to see a write that only a later term restored.
     builder = Builder()
-    build_returned_majority_write(builder, acknowledge="confirmed")
+    build_restored_majority_write(builder, acknowledge="confirmed")
     assert builder.find_rules() == set()
 
 
