--- a/benchmarks/bench_faults.py
+++ b/benchmarks/bench_faults.py
@@ -10,7 +10,7 @@
 import sys
 import time
 
-from benchmarks.faults import variants, world
+from benchmarks.faults import simulation, variants
 
 
 def parse_arguments(arguments: list[str] | None = None) -> argparse.Namespace:
@@ -42,8 +42,8 @@
     return list(range(int(first), int(last or first) + 1))
 
 
-def run_one(seed: int, arguments: argparse.Namespace) -> world.Outcome:
-    options = world.Options(
+def run_one(seed: int, arguments: argparse.Namespace) -> simulation.Outcome:
+    options = simulation.Options(
         seed=seed,
         seconds=arguments.seconds,
         callers=arguments.callers,
@@ -52,12 +52,12 @@
         trace=print if arguments.trace else None,
     )
     if arguments.variant is None:
-        return world.run_seed(options)
+        return simulation.run_seed(options)
     with variants.apply_variant(arguments.variant):
-        return world.run_seed(options)
+        return simulation.run_seed(options)
 
 
-def summarise(outcome: world.Outcome) -> dict:
+def summarise(outcome: simulation.Outcome) -> dict:
     requests = outcome.history.requests
     errors = collections.Counter(
         request.error.value for request in requests if request.error is not None
--- a/benchmarks/bench_replica_reads.py
+++ b/benchmarks/bench_replica_reads.py
@@ -11,7 +11,7 @@
 from unittest import mock
 
 from benchmarks import commands
-from benchmarks.faults import callers, world
+from benchmarks.faults import callers, simulation
 from hyssopshelf import messages
 from hyssopshelf.consistency import reads
 
@@ -45,7 +45,7 @@
             yield self.random.uniform(0.0, self.think_seconds)
 
 
-class MixedWorld(world.World):
+class MixedWorld(simulation.Simulation):
     """A fleet in which half of the callers of each kind only read."""
 
     def _make_caller(self, name: str, kind: callers.Kind) -> callers.Caller:
@@ -58,7 +58,7 @@
 
 def run_lag(seed: int, lag: float, load_seconds: float = LOAD_SECONDS) -> dict:
     """Run one lag and return the shares, latencies and stale reads."""
-    options = world.Options(
+    options = simulation.Options(
         seed=seed,
         seconds=0.0,
         settle_seconds=load_seconds,
--- a/benchmarks/faults/world.py
+++ b/benchmarks/faults/simulation.py
@@ -150,7 +150,7 @@
     )
 
 
-class World:
+class Simulation:
     """Runs a fleet on a virtual clock and checks its history."""
 
     def __init__(self, options: Options) -> None:
@@ -422,4 +422,4 @@
 
 def run_seed(options: Options) -> Outcome:
     """Run one simulation with the given options."""
-    return World(options).run()
+    return Simulation(options).run()
--- a/tests/test_core_machine.py
+++ b/tests/test_core_machine.py
@@ -3,7 +3,7 @@
 import hypothesis
 from hypothesis import stateful, strategies
 
-from benchmarks.faults import plan, world
+from benchmarks.faults import plan, simulation
 
 JOIN_SECONDS = 2.5
 """Time in which the nodes join and take their first snapshot."""
@@ -17,7 +17,9 @@
 
     @stateful.initialize(seed=strategies.integers(min_value=0, max_value=9999))
     def start(self, seed):
-        self.world = world.World(world.Options(seed=seed, hosts=3, callers=5))
+        self.world = simulation.Simulation(
+            simulation.Options(seed=seed, hosts=3, callers=5)
+        )
         self.world.start()
         self.world.loop.run_until(JOIN_SECONDS)
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from benchmarks.faults import variants, world
+from benchmarks.faults import simulation, variants
 
 SEEDS = (1, 6, 8, 60)
 """Seeds that exposed a fault of the core; docs/faults.md lists them."""
@@ -67,16 +67,16 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_core_keeps_the_guarantees(seed):
     """Guards against a guarantee that is broken under any kind of fault."""
-    outcome = world.run_seed(
-        world.Options(seed=seed, seconds=12.0, settle_seconds=12.0)
+    outcome = simulation.run_seed(
+        simulation.Options(seed=seed, seconds=12.0, settle_seconds=12.0)
     )
     assert outcome.violations == []
 
 
 def test_same_seed_gives_the_same_run():
     """Guards against failures that cannot be reproduced from their seed."""
-    options = world.Options(seed=3, seconds=5.0, settle_seconds=2.0)
-    first, second = world.run_seed(options), world.run_seed(options)
+    options = simulation.Options(seed=3, seconds=5.0, settle_seconds=2.0)
+    first, second = simulation.run_seed(options), simulation.run_seed(options)
     assert first.history == second.history
 
 
@@ -86,14 +86,14 @@
     seeds, seconds, callers, faults = CASES[name]
     with variants.apply_variant(name) as variant:
         for seed in seeds:
-            options = world.Options(
+            options = simulation.Options(
                 seed=seed,
                 seconds=float(seconds),
                 callers=callers,
                 faults=faults,
                 settle_seconds=6.0,
             )
-            outcome = world.run_seed(options)
+            outcome = simulation.run_seed(options)
             rules = {violation.rule for violation in outcome.violations}
             if rules & set(variant.rules):
                 return
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -5,7 +5,7 @@
 import attrs
 import pytest
 
-from benchmarks.faults import variants, world
+from benchmarks.faults import simulation, variants
 from hyssopshelf import exceptions, invariants, messages
 
 BROKEN = {
@@ -22,10 +22,10 @@
     crashes = []
     with mock.patch.object(variant.target, variant.name, variant.replacement):
         for seed in (1, 2, 3):
-            options = world.Options(
+            options = simulation.Options(
                 seed=seed, seconds=10.0, settle_seconds=3.0, callers=18
             )
-            crashes += world.run_seed(options).history.crashes
+            crashes += simulation.run_seed(options).history.crashes
     assert any(BROKEN[name] in str(crash) for crash in crashes)
 
 
