--- a/benchmarks/faults/histories.py
+++ b/benchmarks/faults/histories.py
@@ -31,8 +31,8 @@
             return None
         found_database, found_key, label, checksum = match.groups()
         body = f"{found_database}|{found_key}|{label}"
-        whole = f"{zlib.crc32(body.encode()):08x}" == checksum
-        if not whole or (found_database, found_key) != (database, key):
+        intact = f"{zlib.crc32(body.encode()):08x}" == checksum
+        if not intact or (found_database, found_key) != (database, key):
             return None
         labels.append(label)
     return labels
