--- a/benchmarks/bench_replica_reads.py
+++ b/benchmarks/bench_replica_reads.py
@@ -11,7 +11,7 @@
 from unittest import mock
 
 from benchmarks import commands
-from benchmarks.faults import callers, world
+from benchmarks.faults import callers, simulation
 from hyssopshelf import messages
 from hyssopshelf.consistency import reads
 
@@ -37,7 +37,7 @@
             if self._session_left <= 0:
                 self._start_session()
             self._session_left -= 1
-            yield from self._ask(
+            yield from self._call(
                 messages.Operation.GET,
                 key=f"a{self.random.randrange(4)}",
                 consistency=messages.Consistency.BOUNDED,
@@ -45,20 +45,20 @@
             yield self.random.uniform(0.0, self.think_seconds)
 
 
-class MixedWorld(world.World):
+class MixedWorld(simulation.Simulation):
     """A fleet in which half of the callers of each kind only read."""
 
     def _make_caller(self, name: str, kind: callers.Kind) -> callers.Caller:
         made = super()._make_caller(name, kind)
         if not name.startswith("c") or int(name[1:]) % 2:
             return made
-        fields = ("name", "pool", "partner", "databases", "kind", "random", "around")
+        fields = ("name", "pool", "partner", "databases", "kind", "random", "context")
         return Reader(**{field: getattr(made, field) for field in fields})
 
 
 def run_lag(seed: int, lag: float, load_seconds: float = LOAD_SECONDS) -> dict:
     """Run one lag and return the shares, latencies and stale reads."""
-    options = world.Options(
+    options = simulation.Options(
         seed=seed,
         seconds=0.0,
         settle_seconds=load_seconds,
--- a/benchmarks/faults/endpoints.py
+++ b/benchmarks/faults/endpoints.py
@@ -1,4 +1,8 @@
-"""Endpoints of a run: the pure stand-in behind connections, with a log journal."""
+"""Simulated database endpoints.
+
+The stand-in database is reached over simulated connections, and each execution,
+log entry and promotion is recorded in the history.
+"""
 
 import random
 from collections import deque
@@ -14,18 +18,20 @@
 FETCH_SECONDS = 0.02
 """Period at which a replica fetches from its primary."""
 
-BROKEN_SECONDS = 10.0
-"""Time after which an endpoint closes a connection whose other side is cut off."""
+KEEPALIVE_SECONDS = 10.0
+"""Keepalive timeout of a connection whose node is gone or cut off."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class DataConnection:
-    """A connection of a node to an endpoint.
+    """A data connection of a node to an endpoint.
 
     Attributes
     ----------
+    up, down : Channel
+        Channels to the endpoint and to the node.
     receive : callable
-        Takes (request id, answer) on the node's side.
+        Receives (request id, answer) on the node's side.
     report_closed : callable
         Called on the node's side when the endpoint closes the connection.
     """
@@ -44,7 +50,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class FakeEndpoint:
-    """An endpoint with its own clock; it can be paused, killed and made to lag."""
+    """An endpoint with its own clock; it can be paused, killed or made to lag."""
 
     name: str
     loop: clocks.EventLoop
@@ -59,8 +65,8 @@
     dead: bool = False
     fetching: bool = True
     connections: dict[str, DataConnection] = attrs.field(factory=dict)
-    _held: list[Callable[[], None]] = attrs.field(factory=list)
-    _life: int = 0
+    _deferred: list[Callable[[], None]] = attrs.field(factory=list)
+    _incarnation: int = 0
 
     @property
     def database(self) -> str:
@@ -69,45 +75,45 @@
 
     @property
     def is_primary(self) -> bool:
-        """Return whether the endpoint believes to be the primary."""
+        """Return whether the endpoint's own role is primary."""
         return self.instance.role is messages.Role.PRIMARY
 
     def run(self, step: Callable[[], None]) -> None:
-        """Run a step of the process now, or after its pause; not if it is dead."""
+        """Run a step now, or on ``resume`` if paused; do nothing if killed."""
         if self.dead:
             return
         if self.paused:
-            self._held.append(step)
+            self._deferred.append(step)
         else:
             step()
 
     def run_later(self, delay: float, step: Callable[[], None]) -> None:
-        """Run a step after a delay unless the process ended in between."""
-        life = self._life
+        """Run a step after a delay unless the process was killed in between."""
+        incarnation = self._incarnation
 
-        def run_in_same_life() -> None:
-            if life == self._life:
+        def run_if_not_killed() -> None:
+            if incarnation == self._incarnation:
                 self.run(step)
 
-        self.loop.call_later(delay, run_in_same_life)
+        self.loop.call_later(delay, run_if_not_killed)
 
     def pause(self) -> None:
-        """Stop the process; what arrives waits."""
+        """Suspend the process; steps are deferred until ``resume``."""
         self.paused = True
 
     def resume(self) -> None:
-        """Continue after a pause."""
+        """Run the deferred steps and continue."""
         self.paused = False
-        held, self._held = self._held, []
-        for step in held:
+        steps, self._deferred = self._deferred, []
+        for step in steps:
             self.run(step)
 
     def kill(self) -> None:
-        """End the process; its connections break and its log stays."""
+        """Terminate the process and break its connections; its log persists."""
         self.dead = True
         self.paused = False
-        self._life += 1
-        self._held.clear()
+        self._incarnation += 1
+        self._deferred.clear()
         for connection in list(self.connections.values()):
             self._drop(connection)
             connection.down = network.Channel(
@@ -116,12 +122,12 @@
             connection.down.send(connection.report_closed)
 
     def restart(self) -> None:
-        """Start the process again with the log that it had."""
+        """Start the process again with its persisted log."""
         self.dead = False
         self.start()
 
     def start(self) -> None:
-        """Start the replication."""
+        """Start the periodic replication fetch."""
         self.run_later(self.random.uniform(0.0, FETCH_SECONDS), self._fetch)
 
     # Data connections.
@@ -140,7 +146,7 @@
         request: messages.EndpointRequest,
         sent_at: float,
     ) -> None:
-        """Take a request from a connection; requests run one at a time."""
+        """Queue a request; the requests of a connection run one at a time."""
         if connection.id not in self.connections:
             return
         overlapped = connection.unanswered > 0
@@ -149,12 +155,12 @@
         self._run_next(connection)
 
     def close(self, connection: DataConnection) -> None:
-        """Handle a close from the node's side."""
+        """Close a connection at the request of the node."""
         self._drop(connection)
 
-    def watch_broken(self, connection: DataConnection) -> None:
-        """Close a connection whose node is gone, at the latest by keepalive."""
-        self.run_later(BROKEN_SECONDS, lambda: self._drop(connection))
+    def close_after_keepalive(self, connection: DataConnection) -> None:
+        """Close a connection whose node is gone when its keepalive expires."""
+        self.run_later(KEEPALIVE_SECONDS, lambda: self._drop(connection))
 
     def _drop(self, connection: DataConnection) -> None:
         if self.connections.pop(connection.id, None) is None:
@@ -218,7 +224,7 @@
         return answer
 
     def _record_entries(self, start: int) -> None:
-        """Write the entries after an index to the journal."""
+        """Record the log entries after an index in the history."""
         for index in range(start + 1, self.instance.position + 1):
             self._record_entry(index)
 
@@ -243,11 +249,11 @@
     # Control interface.
 
     def report_status(self) -> messages.EndpointStatus:
-        """Return the status of the instance."""
+        """Return the status of the database instance."""
         return self.instance.report_status(self.clock.read())
 
     def control(self, operation: object) -> messages.ControlAnswer:
-        """Carry out a control operation."""
+        """Perform a control operation: fence, follow or promote."""
         now = self.clock.read()
         if isinstance(operation, messages.Fence):
             return self.instance.fence(operation, now)
@@ -281,14 +287,19 @@
         def serve() -> None:
             answer = primary.instance.serve_fetch(request, primary.clock.read())
             primary.network.send(
-                primary.name, self.name, lambda: self.run(lambda: store(answer)), _skip
+                primary.name,
+                self.name,
+                lambda: self.run(lambda: store(answer)),
+                _ignore_unsent,
             )
 
         def store(answer: database.FetchAnswer | None) -> None:
             self.instance.receive_fetch(answer, sent_at, self.clock.read())
 
-        self.network.send(self.name, primary.name, lambda: primary.run(serve), _skip)
+        self.network.send(
+            self.name, primary.name, lambda: primary.run(serve), _ignore_unsent
+        )
 
 
-def _skip() -> None:
-    """Ignore a fetch that was not sent; the next one follows soon."""
+def _ignore_unsent() -> None:
+    """Ignore a fetch that could not be sent; the next one follows."""
--- a/benchmarks/faults/fleet.py
+++ b/benchmarks/faults/fleet.py
@@ -1,4 +1,4 @@
-"""Checks of the fleet: leaving endpoints, drains, configuration, recovery."""
+"""Checks of leaving endpoints, drains, configuration changes and recovery."""
 
 from collections import defaultdict
 from collections.abc import Iterator
@@ -7,16 +7,19 @@
 from hyssopshelf import exceptions, messages
 
 LEAVING_SECONDS = 3.0
-"""Time after which a leaving endpoint gets no new work."""
+"""Time after which a node sends no new work to a leaving endpoint."""
 
 CONFIGURATION_SECONDS = 7.0
-"""Time in which an accepted configuration is in force on reachable nodes."""
+"""Time by which reachable nodes use an accepted configuration."""
 
 Operation = messages.Operation
 
 
 def check_leaving(case: cases.Case) -> Iterator[cases.Violation]:
-    """A leaving endpoint gets no new work 3 s after a node knows it leaves."""
+    """Check that a node sends a leaving endpoint no new work after 3 s.
+
+    The time counts from the moment the node knows that the endpoint leaves.
+    """
     leaving_of = {
         (change.pool, change.version): change.leaving
         for change in case.history.accepted
@@ -33,13 +36,13 @@
     grace = (LEAVING_SECONDS + cases.TICK_SECONDS) / case.history.slowest_rate
     in_transaction: set[tuple[str, str]] = set()
     for execution in case.history.executions:
-        place = (execution.endpoint, execution.connection)
-        new = place not in in_transaction
+        connection_key = (execution.endpoint, execution.connection)
+        new = connection_key not in in_transaction
         if execution.operation is Operation.BEGIN and execution.succeeded:
-            in_transaction.add(place)
+            in_transaction.add(connection_key)
         ends = execution.operation in (Operation.COMMIT, Operation.ROLLBACK)
         if ends or not execution.succeeded:
-            in_transaction.discard(place)
+            in_transaction.discard(connection_key)
         if not new or execution.operation is Operation.ROLLBACK:
             continue
         changes = spans.get(
@@ -57,7 +60,7 @@
 
 
 def _find_leaving_since(changes: list[tuple[float, bool]], time: float) -> float | None:
-    """Return since when an endpoint has been leaving without a break."""
+    """Return since when an endpoint has been leaving without interruption."""
     since = None
     for at, leaving in changes:
         if at > time:
@@ -70,7 +73,7 @@
 
 
 def check_drains(case: cases.Case) -> Iterator[cases.Violation]:
-    """A drained node ends with no request in flight."""
+    """Check that a drained node exits with no request in flight."""
     for stop in case.history.stopped:
         if stop.in_flight:
             yield cases.Violation(
@@ -83,21 +86,21 @@
 
 
 def check_configuration(case: cases.Case) -> Iterator[cases.Violation]:
-    """An accepted configuration is in force in time and is never reverted."""
+    """Check that an accepted configuration is used in time and never reverted."""
     timelines: dict[tuple[str, str], list[tuple[float, int]]] = defaultdict(list)
     highest: dict[tuple[str, int, str], int] = {}
     for record in case.history.in_force:
         timelines[record.host, record.pool].append((record.at, record.version))
-        place = (record.host, record.incarnation, record.pool)
-        if record.version < highest.get(place, 0):
+        view_key = (record.host, record.incarnation, record.pool)
+        if record.version < highest.get(view_key, 0):
             yield cases.Violation(
                 guarantee=9,
                 rule="configuration_reverted",
                 subject=record.host,
-                detail=f"{highest[place]} to {record.version}",
+                detail=f"{highest[view_key]} to {record.version}",
                 at=record.at,
             )
-        highest[place] = max(record.version, highest.get(place, 0))
+        highest[view_key] = max(record.version, highest.get(view_key, 0))
     versions: dict[str, int] = {}
     for change in case.history.accepted:
         if change.version <= versions.get(change.pool, 0):
@@ -115,13 +118,13 @@
         for (host, pool), timeline in timelines.items():
             if pool != change.pool or _was_unreachable(case, host, change.at, due):
                 continue
-            held = [version for at, version in timeline if at <= due]
-            if not held or held[-1] < change.version:
+            in_force = [version for at, version in timeline if at <= due]
+            if not in_force or in_force[-1] < change.version:
                 yield cases.Violation(
                     guarantee=9,
                     rule="configuration_late",
                     subject=host,
-                    detail=f"{change.pool} {change.version}, holds {held[-1:]}",
+                    detail=f"{change.pool} {change.version}, holds {in_force[-1:]}",
                     at=due,
                 )
 
@@ -134,8 +137,12 @@
 
 
 def check_changes(case: cases.Case) -> Iterator[cases.Violation]:
-    """An operator's change is accepted once if and only if he was told so."""
-    first_held: dict[str, list[float]] = defaultdict(list)
+    """Check operator changes against the accepted configurations.
+
+    No change is accepted twice, an acknowledged one is accepted unless it altered
+    nothing, a rejected one is not, and no version drops an accepted change.
+    """
+    accepted_at: dict[str, list[float]] = defaultdict(list)
     previous: dict[str, tuple[str, ...]] = {}
     for accepted in case.history.accepted:
         before = previous.get(accepted.pool, ())
@@ -149,15 +156,15 @@
                 at=accepted.at,
             )
         for change_id in set(accepted.change_ids) - set(before):
-            first_held[change_id.rpartition("-")[0]].append(accepted.at)
+            accepted_at[change_id.rpartition("-")[0]].append(accepted.at)
         previous[accepted.pool] = accepted.change_ids
     for change in case.history.changes:
-        times = first_held.get(change.id, [])
+        times = accepted_at.get(change.id, [])
         yield from _check_change(change, times, _was_in_force(case, change))
 
 
 def _was_in_force(case: cases.Case, change: histories.Change) -> bool:
-    """Return whether a change that altered nothing described an accepted state."""
+    """Return whether some accepted configuration already had the changed state."""
     if change.leaving is None:
         return False
     endpoint, leaving = change.leaving
@@ -171,16 +178,18 @@
 def _check_change(
     change: histories.Change, times: list[float], was_in_force: bool
 ) -> Iterator[cases.Violation]:
-    def blame(guarantee: int, rule: str) -> cases.Violation:
+    def make_violation(guarantee: int, rule: str) -> cases.Violation:
         return cases.Violation(
             guarantee=guarantee, rule=rule, subject=change.id, at=change.invoked_at
         )
 
     if len(times) > 1:
-        yield blame(6, "change_accepted_twice")
-    told = [a for a in change.attempts if a.answered_at is not None and a.error is None]
-    if told and not times and not was_in_force:
-        yield blame(9, "acknowledged_change_not_accepted")
+        yield make_violation(6, "change_accepted_twice")
+    acknowledged = [
+        a for a in change.attempts if a.answered_at is not None and a.error is None
+    ]
+    if acknowledged and not times and not was_in_force:
+        yield make_violation(9, "acknowledged_change_not_accepted")
     denied = all(
         attempt.answered_at is not None
         and attempt.error is not None
@@ -188,11 +197,11 @@
         for attempt in change.attempts
     )
     if times and denied:
-        yield blame(5, "denied_change_accepted")
+        yield make_violation(5, "denied_change_accepted")
 
 
 def check_run(case: cases.Case) -> Iterator[cases.Violation]:
-    """The core raised nothing and every database serves again at the end."""
+    """Check that the core raised no exception and every database recovered."""
     for name in case.history.stalled:
         yield cases.Violation(
             guarantee=0, rule="no_recovery", subject=name, at=case.history.end
--- a/benchmarks/faults/freshness.py
+++ b/benchmarks/faults/freshness.py
@@ -1,4 +1,4 @@
-"""Checks of reads: sessions, staleness bounds and strong reads."""
+"""Checks of session guarantees, staleness bounds and strong reads."""
 
 import bisect
 from collections import defaultdict
@@ -11,51 +11,56 @@
 
 
 def check_sessions(case: cases.Case) -> Iterator[cases.Violation]:
-    """A session reads its writes and never goes back, on any node.
+    """Check read-your-writes and monotonic reads of each session.
 
-    The floors of a session are the entries that it wrote or saw. They lie on
-    one branch of the log unless a change of primary discarded one of them and
-    the session wrote again before it was told. No log holds all of them then,
-    so every later read has to be refused.
+    The floors of a session are the entries that it wrote or saw. They lie on one
+    branch of the log unless a failover discarded one of them and the session
+    wrote again before it learned of that. No log then contains all floors, so
+    every later read has to be refused.
     """
-    floors: dict[tuple[str, str], list[Position]] = defaultdict(list)
+    floors_by_session: dict[tuple[str, str], list[Position]] = defaultdict(list)
     for request in sorted(case.history.requests, key=lambda r: r.invoked_at):
-        held = floors[request.session, request.database]
+        floors = floors_by_session[request.session, request.database]
         tree = case.find_tree(request.database)
         if request.succeeded and cases.is_write(request):
-            _raise_floors(tree, held, _find_written(case, request))
+            _raise_floors(tree, floors, _find_written(case, request))
         elif cases.is_plain_read(request):
             candidates = case.find_read_entries(request)
             if candidates is None:
                 continue
-            seen = [
+            observed = [
                 entry
                 for entry in candidates
                 if not request.had_token
-                or all(_is_seen(tree, request.key, entry, floor) for floor in held)
+                or all(
+                    _may_observe(tree, request.key, entry, floor) for floor in floors
+                )
             ]
-            if seen:
-                _raise_floors(tree, held, seen)
+            if observed:
+                _raise_floors(tree, floors, observed)
             else:
-                yield cases.blame(
-                    1, "session_went_back", request, f"read {candidates} floors {held}"
+                yield cases.make_violation(
+                    1,
+                    "session_went_back",
+                    request,
+                    f"read {candidates} floors {floors}",
                 )
 
 
-def _is_seen(
+def _may_observe(
     tree: logtree.LogTree, key: str, entry: Position | None, floor: Position
 ) -> bool:
-    """Return whether a log that holds ``floor`` may end with ``entry`` for a key."""
+    """Return whether ``entry`` may be a key's last write in a log with ``floor``."""
     if entry is not None and tree.contains(entry, floor):
         return True
     return entry == tree.find_last_write(key, floor)
 
 
 def _find_written(case: cases.Case, request: histories.Request) -> list[Position]:
-    """Return the entries that an acknowledged write may have made.
+    """Return the entries that an acknowledged write may have appended.
 
-    A repeat with an idempotency key may have an entry on a discarded branch and
-    one on a later branch. With majority acknowledgement it is the surviving one.
+    A retry with an idempotency key may have one entry on a discarded branch and
+    one on a later branch. With majority acknowledgement the surviving one counts.
     """
     tree = case.find_tree(request.database)
     labels = case.find_labels(request)
@@ -67,22 +72,22 @@
 
 
 def _raise_floors(
-    tree: logtree.LogTree, held: list[Position], entries: list[Position | None]
+    tree: logtree.LogTree, floors: list[Position], entries: list[Position | None]
 ) -> None:
     """Add the entry that a session wrote or saw to its floors.
 
-    Nothing is added if several entries may be the one, as it is not known then
-    on which branch the session is.
+    Nothing is added if there are several candidates, as the branch that the
+    session observed is then unknown.
     """
     entry = entries[0] if len(set(entries)) == 1 else None
-    if entry is None or any(tree.contains(floor, entry) for floor in held):
+    if entry is None or any(tree.contains(floor, entry) for floor in floors):
         return
-    held[:] = [floor for floor in held if not tree.contains(entry, floor)]
-    held.append(entry)
+    floors[:] = [floor for floor in floors if not tree.contains(entry, floor)]
+    floors.append(entry)
 
 
 def check_bounded_reads(case: cases.Case) -> Iterator[cases.Violation]:
-    """A bounded read sees every surviving write older than its bound."""
+    """Check that bounded reads see all surviving writes older than the bound."""
     for request in case.history.requests:
         bounded = request.consistency is messages.Consistency.BOUNDED
         if not (cases.is_plain_read(request) and bounded):
@@ -90,13 +95,15 @@
         bound = request.staleness_seconds / case.history.slowest_rate
         missing = _find_missing(case, request, request.invoked_at - bound - 1e-9)
         if missing is not None:
-            yield cases.blame(1, "read_older_than_bound", request, f"misses {missing}")
+            yield cases.make_violation(
+                1, "read_older_than_bound", request, f"misses {missing}"
+            )
 
 
 def _find_missing(
     case: cases.Case, request: histories.Request, before: float
 ) -> Position | None:
-    """Return a surviving write before a time that a read did not see."""
+    """Return a surviving write from before a time that a read missed."""
     tree = case.find_tree(request.database)
     survivor = case.history.survivors.get(request.database)
     writes = tree.find_writes(request.key, survivor)
@@ -109,23 +116,23 @@
     for write in reversed(writes[:number]):
         if any(entry and tree.contains(entry, write) for entry in candidates):
             return None
-        if not _may_lack(case, request, before, write, candidates):
+        if not _may_miss(case, request, before, write, candidates):
             return write
     return None
 
 
-def _may_lack(
+def _may_miss(
     case: cases.Case,
     request: histories.Request,
     since: float,
     write: Position,
     candidates: list[Position | None],
 ) -> bool:
-    """Return whether a read ran in a term that had discarded a write.
+    """Return whether a read may have run in a term that discarded a write.
 
-    The term must have been the latest one at a time between ``since`` and the
-    answer. Such a write was not acknowledged by a majority before, which
-    ``check_acknowledgements`` verifies, and a later term brought it back.
+    The term must have been the latest at some time between ``since`` and the
+    answer. The write survives because a later term started from a log with it.
+    ``check_acknowledgements`` verifies that no majority had acknowledged it.
     """
     tree = case.find_tree(request.database)
     return any(
@@ -137,7 +144,7 @@
 
 
 def check_strong_reads(case: cases.Case) -> Iterator[cases.Violation]:
-    """A strong read sees every write acknowledged before it began."""
+    """Check that strong reads see all writes acknowledged before they began."""
     acknowledged = _find_acknowledged(case)
     for request in case.history.requests:
         strong = request.consistency is messages.Consistency.STRONG
@@ -154,16 +161,21 @@
             and not any(
                 entry and tree.contains(entry, position) for entry in candidates
             )
-            and not _may_lack(case, request, request.invoked_at, position, candidates)
+            and not _may_miss(case, request, request.invoked_at, position, candidates)
         ]
         if missed:
-            yield cases.blame(1, "strong_read_missed_write", request, f"{missed[-1]}")
+            yield cases.make_violation(
+                1, "strong_read_missed_write", request, f"{missed[-1]}"
+            )
 
 
 def _find_acknowledged(
     case: cases.Case,
 ) -> dict[tuple[str, str], list[tuple[float, Position]]]:
-    """Return the surviving acknowledged writes of each key with their times."""
+    """Return the surviving acknowledged writes of each key.
+
+    Each is a pair of the time of the answer and the position of the entry.
+    """
     found = defaultdict(list)
     for request in case.history.requests:
         if not (request.succeeded and cases.is_write(request)):
--- a/benchmarks/faults/nodes.py
+++ b/benchmarks/faults/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes of a run: the real core behind fake adapters, with pauses and deaths."""
+"""Simulated node processes, which run the real core with fake adapters."""
 
 import random
 import traceback
@@ -11,33 +11,33 @@
 from hyssopshelf.membership import hosts
 
 OPEN_SECONDS = 0.010
-"""Time that an endpoint takes to open a connection."""
+"""Time an endpoint takes to accept a connection."""
 
 CALL_TIMEOUT_SECONDS = 1.0
-"""Time after which a status probe, control call or opening has failed."""
+"""Timeout of a status probe, a control call and of opening a connection."""
 
 HOST_LIST_SECONDS = 1.0
-"""Period at which a node reads the host list if it is one of its readers."""
+"""Period at which the nodes chosen as readers read the host list."""
 
 HOST_LIST_KEY = "hosts"
-"""Key whose rendezvous order chooses the readers of the host list."""
+"""Key of the rendezvous hash that chooses the readers of the host list."""
 
 REPLACE_SECONDS = 2.0
-"""Time after which a drained process is replaced by a new one."""
+"""Time between the exit of a drained process and the start of the next."""
 
 TOKEN_KEYS = (("k1", b"secret of the fault run"),)
 
 
 @attrs.define(kw_only=True)
-class Surroundings:
-    """What the adapters of all nodes talk to.
+class RunContext:
+    """Everything the fake adapters of the nodes communicate with.
 
     Attributes
     ----------
     replies : dict of str to callable
-        Takes an answer for the connection of a caller.
+        Receives the answers for each caller connection.
     trace : callable
-        Takes the name of a party and a line of text.
+        Receives the name of a party and a line of text.
     """
 
     loop: clocks.EventLoop
@@ -58,9 +58,9 @@
     Attributes
     ----------
     prepare : callable
-        Called with a new core before its first event.
+        Called with the process before the first event of a new core.
     in_flight : dict of str to str
-        Caller's connection of each statement that waits for its answer.
+        Caller connection of each unanswered statement, by statement id.
     """
 
     host: str
@@ -68,7 +68,7 @@
     region: str
     clock: clocks.SkewedClock
     random: random.Random
-    around: Surroundings
+    context: RunContext
     prepare: Callable
     alive: bool = False
     paused: bool = False
@@ -77,20 +77,20 @@
     incarnation: int = 0
     core: node.Node | None = None
     in_flight: dict[str, str] = attrs.field(factory=dict)
-    on_death: list[Callable[[], None]] = attrs.field(factory=list)
-    _held: list[base.Event] = attrs.field(factory=list)
+    on_kill: list[Callable[[], None]] = attrs.field(factory=list)
+    _deferred: list[base.Event] = attrs.field(factory=list)
     _connections: dict[str, tuple] = attrs.field(factory=dict)
     _channels: dict[str, tuple] = attrs.field(factory=dict)
     _versions: dict[str, int] = attrs.field(factory=dict)
 
-    # Life.
+    # Process lifecycle.
 
     def start(self) -> None:
-        """Start the process with a new incarnation and no state."""
+        """Start the process with the next incarnation and an empty state."""
         self.incarnation += 1
         self.alive = True
         self.paused = self.stopping = False
-        self.started_at = self.around.loop.now
+        self.started_at = self.context.loop.now
         self._versions.clear()
         identity = blackboard.Identity(
             host=self.host,
@@ -106,73 +106,73 @@
         self._schedule(0.0, self._read_host_list)
 
     def kill(self) -> None:
-        """End the process at once; its connections break."""
+        """Terminate the process at once and break its connections."""
         self.alive = False
         self.incarnation += 1
         self.paused = False
-        self._held.clear()
+        self._deferred.clear()
         self.in_flight.clear()
         for connection, endpoint in list(self._connections.values()):
             self._close(connection, endpoint)
-            endpoint.watch_broken(connection)
+            endpoint.close_after_keepalive(connection)
         self._connections.clear()
         self._channels.clear()
-        closed, self.on_death = self.on_death, []
-        for call in closed:
-            call()
+        callbacks, self.on_kill = self.on_kill, []
+        for callback in callbacks:
+            callback()
 
     def pause(self) -> None:
-        """Stop the process without its knowledge; what arrives waits."""
+        """Suspend the process; events that arrive are deferred until ``resume``."""
         self.paused = True
 
     def resume(self) -> None:
-        """Continue after a pause, with the timer first or last."""
+        """Handle the deferred events, with a timer event first or last."""
         if not self.paused:
             return
         self.paused = False
-        held, self._held = self._held, []
-        place = self.random.choice((0, len(held)))
-        for event in (*held[:place], base.Ticked(), *held[place:]):
+        events, self._deferred = self._deferred, []
+        index = self.random.choice((0, len(events)))
+        for event in (*events[:index], base.Ticked(), *events[index:]):
             self.handle(event)
 
     def drain(self) -> None:
-        """Ask for a graceful stop; the process ends when the core is idle."""
+        """Request a graceful stop; the process exits when the core is idle."""
         if not self.alive:
             return
         self.stopping = True
         self.handle(base.DrainRequested())
 
     def break_connections(self, endpoint: str) -> None:
-        """Break the data connections to an endpoint, as a lost route does."""
+        """Break the data connections to an endpoint, as a network failure does."""
         for connection, other in list(self._connections.values()):
             if other.name == endpoint:
                 self._connections.pop(connection.id, None)
                 connection.up.close()
                 connection.down.close()
-                other.watch_broken(connection)
+                other.close_after_keepalive(connection)
                 self.handle(base.ConnectionClosed(connection=connection.id))
 
     def handle(self, event: base.Event) -> None:
-        """Pass an event to the core and carry out its actions."""
+        """Pass an event to the core and perform the actions it returns."""
         if not self.alive:
             return
         if self.paused:
-            self._held.append(event)
+            self._deferred.append(event)
             return
         try:
             actions = self.core.handle(event, self.clock.read())
         except Exception as error:
-            place = traceback.extract_tb(error.__traceback__)[-1]
-            self.around.history.crashes.append(
-                f"{error!r} in {place.name} on {type(event).__name__}"
+            frame = traceback.extract_tb(error.__traceback__)[-1]
+            self.context.history.crashes.append(
+                f"{error!r} in {frame.name} on {type(event).__name__}"
             )
             self._trace(traceback.format_exc())
             return
-        if self.around.trace is not None:
+        if self.context.trace is not None:
             self._trace_event(event, actions)
         self._record_versions()
         for action in actions:
-            self._carry_out(action)
+            self._perform(action)
         if self.stopping:
             self._stop_when_idle()
 
@@ -185,18 +185,18 @@
             return
         stopped = histories.Stopped(
             host=self.host,
-            at=self.around.loop.now,
+            at=self.context.loop.now,
             in_flight=tuple(self.in_flight),
         )
-        self.around.history.stopped.append(stopped)
-        # The answers that were just sent reach the callers before the close.
+        self.context.history.stopped.append(stopped)
+        # Answers sent just now must reach the callers before the process exits.
         self.stopping = False
         self._schedule(0.05, self._replace)
 
     def _replace(self) -> None:
-        """End a drained process; the platform starts another one later."""
+        """Terminate a drained process; the platform starts a new one later."""
         self.kill()
-        self.around.loop.call_later(REPLACE_SECONDS, self._start_if_dead)
+        self.context.loop.call_later(REPLACE_SECONDS, self._start_if_dead)
 
     def _start_if_dead(self) -> None:
         if not self.alive:
@@ -210,7 +210,7 @@
                 call()
 
         delay = self.clock.to_true_delay(seconds)
-        self.around.loop.call_later(delay, run)
+        self.context.loop.call_later(delay, run)
 
     def _tick(self) -> None:
         self._schedule(node.TICK_SECONDS, self._tick)
@@ -222,13 +222,13 @@
         board = self.core.board
         reads = len(board.hosts) <= 1 or hosts.is_reader(board, HOST_LIST_KEY)
         if reads and not self.paused:
-            receive = self._in_this_life(
+            receive = self._while_alive(
                 lambda rows: self.handle(base.HostListReceived(hosts=rows))
             )
-            self.around.host_list.read(self.host, receive)
+            self.context.host_list.read(self.host, receive)
 
-    def _in_this_life(self, call: Callable) -> Callable:
-        """Return a callback that does nothing after the process ended."""
+    def _while_alive(self, call: Callable) -> Callable:
+        """Wrap a callback to do nothing once this incarnation has ended."""
         incarnation = self.incarnation
 
         def run(*arguments) -> None:
@@ -241,19 +241,17 @@
         for pool, view in self.core.board.pools.items():
             if self._versions.get(pool) != view.version:
                 self._versions[pool] = view.version
-                self.around.history.in_force.append(
+                self.context.history.in_force.append(
                     histories.ConfigurationInForce(
                         host=self.host,
                         incarnation=self.incarnation,
                         pool=pool,
                         version=view.version,
-                        at=self.around.loop.now,
+                        at=self.context.loop.now,
                     )
                 )
 
-    # Actions.
-
-    def _carry_out(self, action: base.Action) -> None:
+    def _perform(self, action: base.Action) -> None:
         match action:
             case base.Reply():
                 self._reply(action)
@@ -262,9 +260,9 @@
             case base.OpenConnection():
                 self._open(action)
             case base.CloseConnection():
-                held = self._connections.pop(action.connection, None)
-                if held is not None:
-                    self._close(*held)
+                pair = self._connections.pop(action.connection, None)
+                if pair is not None:
+                    self._close(*pair)
             case base.Execute():
                 self._execute(action)
             case base.ProbeStatus():
@@ -279,25 +277,25 @@
         statement_id = getattr(answer, "id", "")
         self.in_flight.pop(statement_id, None)
         if getattr(answer, "error", None) is None:
-            times = self.around.history.acknowledged_at
-            times.setdefault(statement_id, self.around.loop.now)
-        receive = self.around.replies.get(action.caller)
+            times = self.context.history.acknowledged_at
+            times.setdefault(statement_id, self.context.loop.now)
+        receive = self.context.replies.get(action.caller)
         caller = action.caller.partition("#")[0]
-        if receive is not None and not self.around.network.is_cut(self.host, caller):
-            delay = self.around.network.draw_delay(self.host, caller)
-            self.around.loop.call_later(delay, receive, answer)
+        if receive is not None and not self.context.network.is_cut(self.host, caller):
+            delay = self.context.network.draw_delay(self.host, caller)
+            self.context.loop.call_later(delay, receive, answer)
 
     def _send_peer(self, action: base.SendPeer) -> None:
         envelope = messages.Envelope(
             host=self.host, address=self.host, message=action.message
         )
         data = messages.encode(envelope)
-        peer = self.around.nodes.get(action.host)
+        peer = self.context.nodes.get(action.host)
         unsent = base.PeerUnsent(host=action.host, message=action.message)
-        report_unsent = self._in_this_life(lambda: self.handle(unsent))
+        report_unsent = self._while_alive(lambda: self.handle(unsent))
         if peer is None or not peer.alive:
             if self.random.random() < 0.5:
-                self.around.loop.call_later(0.001, report_unsent)
+                self.context.loop.call_later(0.001, report_unsent)
             return
 
         def deliver() -> None:
@@ -307,28 +305,28 @@
             )
             peer.handle(event)
 
-        self.around.network.send(self.host, action.host, deliver, report_unsent)
+        self.context.network.send(self.host, action.host, deliver, report_unsent)
 
     def _open(self, action: base.OpenConnection) -> None:
-        endpoint = self.around.endpoints[action.endpoint]
-        net = self.around.network
+        endpoint = self.context.endpoints[action.endpoint]
+        net = self.context.network
         connection = endpoints.DataConnection(
             id=action.connection,
             host=self.host,
             incarnation=self.incarnation,
             up=network.Channel(network=net, sender=self.host, receiver=endpoint.name),
             down=network.Channel(network=net, sender=endpoint.name, receiver=self.host),
-            receive=self._in_this_life(
+            receive=self._while_alive(
                 lambda request_id, answer: self._receive(connection, request_id, answer)
             ),
-            report_closed=self._in_this_life(lambda: self._report_closed(connection)),
+            report_closed=self._while_alive(lambda: self._report_closed(connection)),
         )
         self._connections[connection.id] = (connection, endpoint)
         state = {"open": False}
 
         def accept() -> None:
             accepted = endpoint.accept(connection)
-            connection.down.send(self._in_this_life(lambda: finish(accepted)))
+            connection.down.send(self._while_alive(lambda: finish(accepted)))
 
         def finish(accepted: bool) -> None:
             if state["open"] or connection.id not in self._connections:
@@ -340,10 +338,10 @@
                 fail(True, "the endpoint is full")
 
         def fail(refused: bool, reason: str) -> None:
-            held = self._connections.pop(connection.id, None)
-            if held is None:
+            pair = self._connections.pop(connection.id, None)
+            if pair is None:
                 return
-            self._close(*held)
+            self._close(*pair)
             self.handle(
                 base.ConnectionFailed(
                     connection=connection.id, refused=refused, reason=reason
@@ -364,7 +362,7 @@
         connection: endpoints.DataConnection,
         endpoint: endpoints.FakeEndpoint,
     ) -> None:
-        # The endpoint closes after an opening that may still be under way there.
+        # The close must reach the endpoint after an accept still in progress.
         connection.down.close()
         connection.receive = connection.report_closed = _ignore
         connection.up.send(
@@ -390,13 +388,13 @@
         )
 
     def _execute(self, action: base.Execute) -> None:
-        held = self._connections.get(action.connection)
-        if held is None:
+        pair = self._connections.get(action.connection)
+        if pair is None:
             closed = base.ConnectionClosed(connection=action.connection)
             self._schedule(0.0, lambda: self.handle(closed))
             return
-        connection, endpoint = held
-        sent_at = self.around.loop.now
+        connection, endpoint = pair
+        sent_at = self.context.loop.now
         connection.up.send(
             lambda: endpoint.run(
                 lambda: endpoint.submit(
@@ -406,10 +404,10 @@
         )
 
     def _call_endpoint(self, name: str, call: Callable, report: Callable) -> None:
-        """Call an endpoint's control interface; report None without an answer."""
-        endpoint = self.around.endpoints[name]
+        """Call an endpoint's control interface; report None on timeout."""
+        endpoint = self.context.endpoints[name]
         if name not in self._channels:
-            net = self.around.network
+            net = self.context.network
             self._channels[name] = (
                 network.Channel(network=net, sender=self.host, receiver=name),
                 network.Channel(network=net, sender=name, receiver=self.host),
@@ -422,11 +420,11 @@
                 state["done"] = True
                 report(answer)
 
-        finish_here = self._in_this_life(finish)
+        finish_if_running = self._while_alive(finish)
 
         def serve() -> None:
             answer = call(endpoint)
-            down.send(lambda: finish_here(answer))
+            down.send(lambda: finish_if_running(answer))
 
         up.send(lambda: endpoint.run(serve))
         self._schedule(CALL_TIMEOUT_SECONDS, lambda: finish(None))
@@ -458,22 +456,20 @@
         )
 
     def _call_store(self, action: base.CallStore) -> None:
-        receive = self._in_this_life(
+        receive = self._while_alive(
             lambda result: self.handle(
                 base.StoreAnswered(call_id=action.call_id, result=result)
             )
         )
-        self.around.store.call(self.host, action.operation, receive)
-
-    # Trace.
+        self.context.store.call(self.host, action.operation, receive)
 
     def _trace(self, text: str) -> None:
-        if self.around.trace is not None:
-            self.around.trace(self.host, text)
+        if self.context.trace is not None:
+            self.context.trace(self.host, text)
 
     def _trace_event(self, event: base.Event, actions: list[base.Action]) -> None:
-        quiet = (base.Ticked, base.StatusReceived, base.HostListReceived)
-        if not isinstance(event, quiet):
+        frequent = (base.Ticked, base.StatusReceived, base.HostListReceived)
+        if not isinstance(event, frequent):
             self._trace(f"< {event}")
         for action in actions:
             if isinstance(action, base.Log):
@@ -484,7 +480,7 @@
 
 
 def list_host_entries(nodes: dict[str, NodeProcess]) -> tuple:
-    """Return the rows that the platform lists for the live nodes."""
+    """Return the platform's host list entries of the running nodes."""
     return tuple(
         platform.HostEntry(
             name=process.host,
@@ -499,4 +495,4 @@
 
 
 def _ignore(*arguments) -> None:
-    """Take an answer on a connection that the node closed."""
+    """Discard an answer on a connection that the node has closed."""
--- a/benchmarks/faults/plan.py
+++ b/benchmarks/faults/plan.py
@@ -1,4 +1,4 @@
-"""The faults of a run: what may happen, when, and how it ends."""
+"""Fault injection: the kinds of faults, their random schedule and their end."""
 
 import random
 from collections.abc import Callable
@@ -11,10 +11,10 @@
 """Mean time between two faults."""
 
 OVERRUN_SECONDS = 14.0
-"""Longest time by which a fault outlasts the end of the faults."""
+"""Longest time a fault may continue after the end of the fault schedule."""
 
 REPEAT_RATE = 0.25
-"""Part of the faults that are followed at once by the same kind again."""
+"""Fraction of the faults that are scheduled twice, less than 1 s apart."""
 
 
 FAULTS = (
@@ -43,7 +43,7 @@
     "edit",
     "leave",
 )
-"""Names of the faults; those that are named twice are drawn twice as often."""
+"""Names of the faults; one listed twice is drawn twice as often."""
 
 
 @attrs.define(kw_only=True)
@@ -52,32 +52,32 @@
 
     Attributes
     ----------
-    only : tuple of str
+    allowed : tuple of str
         Names of the faults to choose from, empty for all.
     flood : callable
-        Starts a flood of a duration in seconds.
+        Starts a burst of load; takes its duration in seconds.
     edit : callable
-        Makes operators edit the split at the same time.
+        Makes several operators edit the split at the same time.
     leave : callable
-        Declares an endpoint as leaving or not.
+        Takes the name of an endpoint and whether to declare it as leaving.
     """
 
-    around: nodes.Surroundings
+    context: nodes.RunContext
     random: random.Random
     callers: tuple[str, ...]
     flood: Callable[[float], None]
     edit: Callable[[], None]
     leave: Callable[[str, bool], None]
-    only: tuple[str, ...] = ()
+    allowed: tuple[str, ...] = ()
     counts: dict[str, int] = attrs.field(factory=dict)
 
     def run(self, start: float, end: float) -> None:
-        """Schedule faults between two times.
+        """Schedule random faults between two times.
 
-        All end by ``end`` but those that take a fixed time, which end within
-        ``OVERRUN_SECONDS`` after it.
+        Faults end by ``end``, except those of a fixed duration, which end at
+        most ``OVERRUN_SECONDS`` later.
         """
-        names = [name for name in FAULTS if not self.only or name in self.only]
+        names = [name for name in FAULTS if not self.allowed or name in self.allowed]
         time = start
         while True:
             time += self.random.expovariate(1.0 / GAP_SECONDS)
@@ -87,17 +87,17 @@
             times = 2 if self.random.random() < REPEAT_RATE else 1
             for number in range(times):
                 begin = time + number * self.random.uniform(0.0, 1.0)
-                self.around.loop.call_at(begin, self._start, name, end)
+                self.context.loop.call_at(begin, self._start, name, end)
 
     def begin(self, name: str, seconds: float) -> None:
-        """Start a fault of a name that ends after a time."""
+        """Start the named fault and schedule its end after ``seconds``."""
         self.counts[name] = self.counts.get(name, 0) + 1
         undo = getattr(self, f"_{name}")(seconds)
         if undo is not None:
-            self.around.loop.call_later(seconds, undo)
+            self.context.loop.call_later(seconds, undo)
 
     def _start(self, name: str, end: float) -> None:
-        now = self.around.loop.now
+        now = self.context.loop.now
         if now >= end:
             return
         short = self.random.random() < 0.5
@@ -105,15 +105,15 @@
         self.begin(name, min(seconds, end - now))
 
     def _trace(self, text: str) -> None:
-        if self.around.trace is not None:
-            self.around.trace("faults", text)
+        if self.context.trace is not None:
+            self.context.trace("faults", text)
 
     # Network.
 
     def _list_parties(self) -> list[str]:
         return [
-            *sorted(self.around.nodes),
-            *sorted(self.around.endpoints),
+            *sorted(self.context.nodes),
+            *sorted(self.context.endpoints),
             store.NAME,
             store.HOST_LIST_NAME,
             *self.callers,
@@ -121,7 +121,7 @@
 
     def _cut_links(self, links: list[tuple[str, str]], seconds: float) -> Callable:
         self._trace(f"cut for {seconds:.3f} s: {links}")
-        net = self.around.network
+        net = self.context.network
         for link in links:
             net.cut(*link)
 
@@ -132,22 +132,22 @@
         return heal
 
     def _cut_pair(self, seconds: float) -> Callable:
-        one, other = self.random.sample(self._list_parties(), 2)
-        return self._cut_links([(one, other), (other, one)], seconds)
+        first, second = self.random.sample(self._list_parties(), 2)
+        return self._cut_links([(first, second), (second, first)], seconds)
 
     def _cut_one_way(self, seconds: float) -> Callable:
-        one, other = self.random.sample(self._list_parties(), 2)
-        return self._cut_links([(one, other)], seconds)
+        first, second = self.random.sample(self._list_parties(), 2)
+        return self._cut_links([(first, second)], seconds)
 
     def _cut_groups(self, inner: set[str], outer: set[str], seconds: float) -> Callable:
-        way = self.random.choice(("both", "both", "in", "out"))
+        direction = self.random.choice(("both", "both", "in", "out"))
         links = []
-        for one in sorted(inner):
-            for other in sorted(outer - inner):
-                if way in ("both", "out"):
-                    links.append((one, other))
-                if way in ("both", "in"):
-                    links.append((other, one))
+        for inside in sorted(inner):
+            for outside in sorted(outer - inner):
+                if direction in ("both", "out"):
+                    links.append((inside, outside))
+                if direction in ("both", "in"):
+                    links.append((outside, inside))
         return self._cut_links(links, seconds)
 
     def _isolate(self, seconds: float) -> Callable:
@@ -155,10 +155,10 @@
         return self._cut_groups({self.random.choice(parties)}, set(parties), seconds)
 
     def _isolate_primary(self, seconds: float) -> Callable:
-        """Cut a primary from its peers; some hosts still reach it."""
+        """Cut a primary from its replicas and from a random subset of the hosts."""
         primary = self._choose_primary()
         others = {name for name in primary.peers if name != primary.name}
-        hosts = sorted(self.around.nodes)
+        hosts = sorted(self.context.nodes)
         count = self.random.randrange(len(hosts) + 1)
         others.update(self.random.sample(hosts, count))
         return self._cut_groups({primary.name}, others, seconds)
@@ -166,23 +166,23 @@
     def _pause_server(self, seconds: float) -> None:
         """Cut a primary from its replicas and pause the node that serves it.
 
-        The replicas' silence leads to a change of primary during the pause, so
-        that the node resumes with answers from before the change.
+        The cut leads to a failover during the pause, so that the node resumes
+        with answers from before the failover.
         """
         primary = self._choose_primary()
         others = {name for name in primary.peers if name != primary.name}
         hosts = [connection.host for connection in primary.connections.values()]
-        server = max(sorted(set(hosts)), key=hosts.count) if hosts else ""
+        serving_host = max(sorted(set(hosts)), key=hosts.count) if hosts else ""
         if self.random.random() < 0.5:
-            # The promoter cannot fence the primary then, but it is still served.
-            others.update(name for name in self.around.nodes if name != server)
+            # The promoting node then cannot fence the primary, which is still used.
+            others.update(name for name in self.context.nodes if name != serving_host)
         heal = self._cut_groups({primary.name}, others, 9.0)
-        self.around.loop.call_later(9.0, heal)
-        if server:
-            process = self.around.nodes[server]
+        self.context.loop.call_later(9.0, heal)
+        if serving_host:
+            process = self.context.nodes[serving_host]
             begin = self.random.uniform(1.0, 2.3)
             pause = self.random.uniform(0.8, 4.0)
-            self.around.loop.call_later(begin, self._pause_for, process, pause)
+            self.context.loop.call_later(begin, self._pause_for, process, pause)
 
     def _pause_for(self, process: nodes.NodeProcess, seconds: float) -> None:
         if not process.alive or process.paused:
@@ -195,48 +195,48 @@
             if process.incarnation == incarnation:
                 process.resume()
 
-        self.around.loop.call_later(seconds, resume)
+        self.context.loop.call_later(seconds, resume)
 
     def _isolate_place(self, seconds: float) -> Callable:
-        places = self.around.network.places
+        places = self.context.network.places
         place = self.random.choice(sorted(set(places.values())))
         inner = {name for name, where in places.items() if where == place}
         return self._cut_groups(inner, set(self._list_parties()), seconds)
 
     def _disturb_messages(self, seconds: float) -> Callable:
-        self._trace("messages are late, doubled, reordered and lost")
-        net = self.around.network
-        net.late_rate, net.doubled_rate, net.lost_rate = 0.2, 0.2, 0.03
+        self._trace("messages are delayed, duplicated, reordered and lost")
+        net = self.context.network
+        net.delay_rate, net.duplicate_rate, net.loss_rate = 0.2, 0.2, 0.03
 
         def restore() -> None:
-            net.late_rate, net.doubled_rate, net.lost_rate = 0.0, 0.0, 0.0
+            net.delay_rate, net.duplicate_rate, net.loss_rate = 0.0, 0.0, 0.0
 
         return restore
 
     def _break_connections(self, seconds: float) -> None:
         process = self._choose_node()
-        endpoint = self.random.choice(sorted(self.around.endpoints))
+        endpoint = self.random.choice(sorted(self.context.endpoints))
         self._trace(f"connections of {process.host} to {endpoint} break")
         process.break_connections(endpoint)
 
     # Processes.
 
     def _choose_node(self) -> nodes.NodeProcess:
-        return self.around.nodes[self.random.choice(sorted(self.around.nodes))]
+        return self.context.nodes[self.random.choice(sorted(self.context.nodes))]
 
     def _choose_endpoint(self) -> endpoints.FakeEndpoint:
         if self.random.random() < 0.5:
             return self._choose_primary()
-        name = self.random.choice(sorted(self.around.endpoints))
-        return self.around.endpoints[name]
+        name = self.random.choice(sorted(self.context.endpoints))
+        return self.context.endpoints[name]
 
     def _choose_primary(self) -> endpoints.FakeEndpoint:
         found = [
             endpoint
-            for _, endpoint in sorted(self.around.endpoints.items())
+            for _, endpoint in sorted(self.context.endpoints.items())
             if endpoint.is_primary
         ]
-        return self.random.choice(found or list(self.around.endpoints.values()))
+        return self.random.choice(found or list(self.context.endpoints.values()))
 
     def _pause_node(self, seconds: float) -> None:
         self._pause_for(self._choose_node(), seconds)
@@ -255,9 +255,9 @@
             return None
         self._trace(f"kill {process.host} for {seconds:.3f} s")
         process.kill()
-        return self._restarter(process)
+        return self._make_restart(process)
 
-    def _restarter(self, process: nodes.NodeProcess) -> Callable:
+    def _make_restart(self, process: nodes.NodeProcess) -> Callable:
         def restart() -> None:
             if not process.alive:
                 self._trace(f"restart {process.host}")
@@ -307,7 +307,7 @@
 
     def _stop_store(self, seconds: float) -> Callable:
         self._trace(f"store down for {seconds:.3f} s")
-        target = self.around.store
+        target = self.context.store
         target.down = True
 
         def recover() -> None:
@@ -316,7 +316,7 @@
         return recover
 
     def _slow_store(self, seconds: float) -> Callable:
-        target = self.around.store
+        target = self.context.store
         target.slow_seconds = self.random.uniform(0.1, 3.0)
         self._trace(f"store slow by {target.slow_seconds:.3f} s for {seconds:.3f} s")
 
@@ -327,11 +327,11 @@
 
     def _lose_store_answers(self, seconds: float) -> Callable:
         self._trace(f"store loses answers for {seconds:.3f} s")
-        target = self.around.store
-        target.lost_rate = 0.5
+        target = self.context.store
+        target.loss_rate = 0.5
 
         def recover() -> None:
-            target.lost_rate = 0.0
+            target.loss_rate = 0.0
 
         return recover
 
@@ -351,4 +351,4 @@
         seconds += self.random.choice((0.0, 4.0, 4.0))
         self._trace(f"{name} is leaving for {seconds:.3f} s")
         self.leave(name, True)
-        self.around.loop.call_later(seconds, self.leave, name, False)
+        self.context.loop.call_later(seconds, self.leave, name, False)
--- a/benchmarks/faults/world.py
+++ b/benchmarks/faults/simulation.py
@@ -1,4 +1,7 @@
-"""One run: a fleet of real cores among fakes, callers, faults and the checks."""
+"""Simulation of a fleet of real cores with fake adapters, load and faults.
+
+The recorded history is checked at the end of the run.
+"""
 
 import random
 from collections.abc import Callable
@@ -31,19 +34,19 @@
 SLOTS = 3
 
 RATE_SPREAD = 0.05
-"""Clocks run between 1 - spread and 1 + spread seconds a second."""
+"""Largest deviation of a clock's rate from 1, in seconds per second."""
 
 START_SECONDS = 3.0
-"""Time without faults at the start of a run."""
+"""Length of the fault-free start of a run."""
 
 QUIET_SECONDS = 6.0
-"""Time after the load in which all replicas catch up."""
+"""Time after the end of the load in which the replicas catch up."""
 
 SAMPLE_SECONDS = 0.1
 """Period at which the reachability of nodes is sampled."""
 
 JOIN_SECONDS = 4.0
-"""Time after a start in which a node is not yet expected to take part."""
+"""Time after its start in which a node counts as unreachable."""
 
 KINDS = (
     callers.Kind(name="order", staleness_seconds=0.5, acknowledge="majority"),
@@ -54,16 +57,16 @@
 
 @attrs.frozen(kw_only=True)
 class Options:
-    """What a run does.
+    """Parameters of a run.
 
     Attributes
     ----------
     seconds : float
-        Virtual time with faults.
+        Virtual time during which faults are injected.
     hosts, callers : int
-        Size of the fleet and of the load.
+        Number of nodes and of callers.
     kinds : tuple of callers.Kind
-        Kinds of work, most urgent first.
+        Kinds of work in descending priority.
     apply_delay_seconds : float
         Time between the arrival of an entry at a replica and its visibility.
     """
@@ -81,7 +84,7 @@
 
 @attrs.frozen(kw_only=True)
 class Outcome:
-    """What a run found."""
+    """Result of a run."""
 
     violations: list[cases.Violation]
     history: histories.History
@@ -91,7 +94,7 @@
 
 
 def make_document(kinds: tuple[callers.Kind, ...] = KINDS) -> resources.Document:
-    """Return the first document of the pool."""
+    """Return the initial configuration document of the pool."""
     specs = {
         (resources.ResourceKind.POOL, POOL): resources.PoolSpec(
             databases=tuple(
@@ -131,9 +134,9 @@
                 for kind in kinds
             )
         )
-    even = dict.fromkeys(PARTNERS, 0.5)
+    equal_shares = dict.fromkeys(PARTNERS, 0.5)
     specs[resources.ResourceKind.SPLIT, "split"] = resources.SplitSpec(
-        capacity=even, bill=even
+        capacity=equal_shares, bill=equal_shares
     )
     return resources.Document(
         pool=POOL,
@@ -147,23 +150,23 @@
     )
 
 
-class World:
-    """A fleet on a virtual clock."""
+class Simulation:
+    """Runs a fleet on a virtual clock and checks its history."""
 
     def __init__(self, options: Options) -> None:
         self.options = options
         self.random = random.Random(options.seed)
         self.loop = clocks.EventLoop()
         self.history = histories.History(slowest_rate=1.0 - RATE_SPREAD)
-        net = network.Network(loop=self.loop, random=self._fork())
-        self.around = nodes.Surroundings(
+        net = network.Network(loop=self.loop, random=self._derive_random())
+        self.context = nodes.RunContext(
             loop=self.loop,
             network=net,
             history=self.history,
             store=store.FakeStore(
                 loop=self.loop,
                 network=net,
-                random=self._fork(),
+                random=self._derive_random(),
                 history=self.history,
             ),
             host_list=store.FakeHostList(loop=self.loop, network=net),
@@ -176,21 +179,24 @@
             self._make_caller(f"c{n}", options.kinds[n % len(options.kinds)])
             for n in range(options.callers)
         ]
-        staff = operators.Operators(
-            pool=POOL, partners=PARTNERS, random=self._fork(), around=self.around
+        pool_operators = operators.Operators(
+            pool=POOL,
+            partners=PARTNERS,
+            random=self._derive_random(),
+            context=self.context,
         )
         self.injector = plan.Injector(
-            around=self.around,
-            random=self._fork(),
+            context=self.context,
+            random=self._derive_random(),
             callers=tuple(caller.name for caller in self.callers),
-            only=options.faults,
+            allowed=options.faults,
             flood=self._flood,
-            edit=staff.edit,
-            leave=staff.set_leaving,
+            edit=pool_operators.edit,
+            leave=pool_operators.set_leaving,
         )
 
     def run(self) -> Outcome:
-        """Run to the end and check the history."""
+        """Inject faults under load, let the fleet settle and check the history."""
         self.start()
         end_of_faults = START_SECONDS + self.options.seconds
         self.injector.run(START_SECONDS, end_of_faults)
@@ -201,25 +207,25 @@
         return self.finish()
 
     def start(self) -> None:
-        """Start all processes and the load."""
+        """Write the configuration and start all processes and callers."""
         data = declarations.encode_document(make_document(self.options.kinds))
-        self.around.store.write(documents.key_of(POOL), data)
+        self.context.store.write(documents.key_of(POOL), data)
         self._publish_hosts()
-        for process in self.around.nodes.values():
+        for process in self.context.nodes.values():
             process.start()
         for caller in self.callers:
             caller.start()
         self._sample()
 
     def finish(self) -> Outcome:
-        """Let the fleet become quiet, see whether it serves, and check."""
+        """Stop the load, verify that the fleet takes writes and check the history."""
         for caller in self.callers:
             caller.stop_at = min(caller.stop_at, self.loop.now)
         self.loop.run_until(self.loop.now + QUIET_SECONDS)
         self._probe_service()
         self.history.stalled.extend(
-            f"{host} drains without end"
-            for host, process in self.around.nodes.items()
+            f"{host} has not finished draining"
+            for host, process in self.context.nodes.items()
             if process.stopping
         )
         self.history.end = self.loop.now
@@ -231,12 +237,12 @@
             history=self.history,
             faults=dict(self.injector.counts),
             virtual_seconds=self.loop.now,
-            store_calls=self.around.store.calls,
+            store_calls=self.context.store.calls,
         )
 
     # Construction.
 
-    def _fork(self) -> random.Random:
+    def _derive_random(self) -> random.Random:
         return random.Random(self.random.getrandbits(64))
 
     def _make_clock(self) -> clocks.SkewedClock:
@@ -251,13 +257,13 @@
             group: dict[str, endpoints.FakeEndpoint] = {}
             for letter, place in zip("abc", PLACES, strict=True):
                 full = f"{POOL}/{name}/{letter}"
-                self.around.network.places[full] = place
+                self.context.network.places[full] = place
                 group[full] = endpoints.FakeEndpoint(
                     name=full,
                     loop=self.loop,
                     clock=self._make_clock(),
-                    network=self.around.network,
-                    random=self._fork(),
+                    network=self.context.network,
+                    random=self._derive_random(),
                     history=self.history,
                     instance=database.Instance(
                         name=full,
@@ -271,29 +277,29 @@
             for replica in replicas:
                 order = messages.Follow(term=1, primary=primary.name)
                 replica.instance.follow(order, replica.clock.read())
-            self.around.endpoints.update(group)
-        for endpoint in self.around.endpoints.values():
+            self.context.endpoints.update(group)
+        for endpoint in self.context.endpoints.values():
             endpoint.start()
 
     def _build_nodes(self) -> None:
         for number in range(self.options.hosts):
             host = f"h{number}"
             place = PLACES[number % len(PLACES)]
-            self.around.network.places[host] = place
-            self.around.nodes[host] = nodes.NodeProcess(
+            self.context.network.places[host] = place
+            self.context.nodes[host] = nodes.NodeProcess(
                 host=host,
                 place=place,
                 region=place,
                 clock=self._make_clock(),
-                random=self._fork(),
-                around=self.around,
+                random=self._derive_random(),
+                context=self.context,
                 prepare=self._prepare,
             )
 
     def _prepare(self, process: nodes.NodeProcess) -> None:
-        """Give a new core what its settings tell: itself and two hosts to join."""
+        """Add the hosts a core knows from its settings: itself and two to join."""
         board = process.core.board
-        others = [name for name in self.around.nodes if name != process.host]
+        others = [name for name in self.context.nodes if name != process.host]
         for name in process.random.sample(others, 2):
             board.hosts[name] = blackboard.HostRecord(
                 name=name, address=name, place="", region=""
@@ -313,11 +319,11 @@
             partner=self.random.choice(PARTNERS),
             databases=DATABASES,
             kind=kind,
-            random=self._fork(),
-            around=self.around,
+            random=self._derive_random(),
+            context=self.context,
         )
 
-    # Course of the run.
+    # Steps of a run.
 
     def _flood(self, seconds: float) -> None:
         for number in range(20):
@@ -328,22 +334,24 @@
             caller.start()
 
     def _publish_hosts(self) -> None:
-        self.around.host_list.publish(nodes.list_host_entries(self.around.nodes))
+        self.context.host_list.publish(nodes.list_host_entries(self.context.nodes))
         self.loop.call_later(1.0, self._publish_hosts)
 
     def _sample(self) -> None:
-        """Record which nodes can take part."""
-        alive = [process for process in self.around.nodes.values() if process.alive]
-        everyone = True
-        for process in self.around.nodes.values():
+        """Record which nodes are reachable, every ``SAMPLE_SECONDS``."""
+        alive = [process for process in self.context.nodes.values() if process.alive]
+        all_reachable = True
+        for process in self.context.nodes.values():
             reachable = self._is_reachable(process, alive)
-            everyone = everyone and reachable
+            all_reachable = all_reachable and reachable
             self._set_reachable(process.host, reachable)
-        platform = self.around.store
-        well = not (platform.down or platform.slow_seconds or platform.lost_rate)
-        # Without the store a change that only its committer knows is lost to
-        # the others until the committer or the store is back.
-        for host in () if well or everyone else self.around.nodes:
+        fake_store = self.context.store
+        store_healthy = not (
+            fake_store.down or fake_store.slow_seconds or fake_store.loss_rate
+        )
+        # While the store is unavailable, a change known only to the node that
+        # committed it reaches the others when that node or the store is back.
+        for host in () if store_healthy or all_reachable else self.context.nodes:
             self._set_reachable(host, False)
         self.loop.call_later(SAMPLE_SECONDS, self._sample)
 
@@ -359,9 +367,9 @@
             for other in alive
             if other is not process
             and not other.paused
-            and self.around.network.connects(process.host, other.host)
+            and self.context.network.connects(process.host, other.host)
         ]
-        return 2 * len(peers) > len(self.around.nodes) - 1
+        return 2 * len(peers) > len(self.context.nodes) - 1
 
     def _set_reachable(self, host: str, reachable: bool) -> None:
         if not reachable:
@@ -374,7 +382,7 @@
             )
 
     def _probe_service(self) -> None:
-        """Write to each database until it takes a write, for a limited time."""
+        """Retry a write to each database until it succeeds, for at most 20 s."""
         missing = set(DATABASES)
         for _ in range(20):
             for name in sorted(missing):
@@ -397,7 +405,7 @@
             full = f"{POOL}/{name}"
             group = [
                 endpoint.instance
-                for endpoint in self.around.endpoints.values()
+                for endpoint in self.context.endpoints.values()
                 if endpoint.database == full
             ]
             primaries = [i for i in group if i.role is messages.Role.PRIMARY]
@@ -413,5 +421,5 @@
 
 
 def run_seed(options: Options) -> Outcome:
-    """Run one seed."""
-    return World(options).run()
+    """Run one simulation with the given options."""
+    return Simulation(options).run()
--- a/benchmarks/faults/store.py
+++ b/benchmarks/faults/store.py
@@ -1,4 +1,4 @@
-"""The platform of a run: a key-value store with faults and a lagging host list."""
+"""Simulated platform: a key-value store with faults and a delayed host list."""
 
 import random
 from collections.abc import Callable
@@ -11,30 +11,30 @@
 from hyssopshelf.configuration import declarations, resources
 
 NAME = "store"
-"""Party name of the store in the network."""
+"""Name of the store as a party of the network."""
 
 HOST_LIST_NAME = "hostlist"
-"""Party name of the host list in the network."""
+"""Name of the host list as a party of the network."""
 
 CALL_SECONDS = 0.002
-"""Time that the store takes for a call when it is well."""
+"""Service time of a call without a fault."""
 
 TIMEOUT_SECONDS = 2.0
-"""Time after which a call without an answer has an unknown outcome."""
+"""Timeout after which the outcome of an unanswered call is unknown."""
 
 
 @attrs.define(kw_only=True)
 class FakeStore:
-    """Keys with revisions, leases and waiting watches.
+    """A key-value store with revisions, leases and watches.
 
     Attributes
     ----------
     down : bool
-        Calls are neither carried out nor answered.
+        Calls are neither executed nor answered.
     slow_seconds : float
         Time added to each call.
-    lost_rate : float
-        Part of the answers that are lost after the call took effect.
+    loss_rate : float
+        Fraction of the answers that are lost after the call took effect.
     """
 
     loop: clocks.EventLoop
@@ -43,16 +43,16 @@
     history: histories.History
     down: bool = False
     slow_seconds: float = 0.0
-    lost_rate: float = 0.0
+    loss_rate: float = 0.0
     calls: int = 0
     revision: int = 0
     entries: dict[str, platform.Entry] = attrs.field(factory=dict)
     _leases: dict[int, float] = attrs.field(factory=dict)
-    _bound: dict[str, int] = attrs.field(factory=dict)
+    _lease_by_key: dict[str, int] = attrs.field(factory=dict)
     _watches: list = attrs.field(factory=list)
 
     def call(self, host: str, operation, answer: Callable) -> None:
-        """Carry out a call of a host; ``answer`` takes a ``result.Result``."""
+        """Execute a call of a host; ``answer`` receives a ``result.Result``."""
         done = False
 
         def finish(value) -> None:
@@ -62,7 +62,7 @@
                 answer(value)
 
         def reply(value) -> None:
-            if self.down or self.random.random() < self.lost_rate:
+            if self.down or self.random.random() < self.loss_rate:
                 return
             if self.network.is_cut(NAME, host):
                 return
@@ -81,11 +81,11 @@
         self.loop.call_later(wait, finish, result.Err("no answer in time"))
 
     def write(self, key: str, value: bytes, lease: int = 0) -> platform.Entry:
-        """Write a key and wake the watches on it."""
+        """Write a key and answer the watches that wait for it."""
         self.revision += 1
         entry = platform.Entry(key=key, value=value, revision=self.revision)
         self.entries[key] = entry
-        self._bound[key] = lease
+        self._lease_by_key[key] = lease
         self._record(key, value)
         waiting, self._watches = self._watches, []
         for prefix, after, reply in waiting:
@@ -170,20 +170,20 @@
     def _expire(self) -> None:
         for lease in [k for k, end in self._leases.items() if end <= self.loop.now]:
             del self._leases[lease]
-        for key, lease in list(self._bound.items()):
+        for key, lease in list(self._lease_by_key.items()):
             if lease and lease not in self._leases:
-                del self._bound[key]
+                del self._lease_by_key[key]
                 self.entries.pop(key, None)
 
 
 @attrs.define(kw_only=True)
 class FakeHostList:
-    """The platform's host list, which tells a state that is some seconds old.
+    """The platform's host list, which is served with a delay.
 
     Attributes
     ----------
     lag_seconds : float
-        Age of the state that readers get.
+        Age of the list that readers receive.
     """
 
     loop: clocks.EventLoop
@@ -192,16 +192,16 @@
     _versions: list[tuple[float, tuple]] = attrs.field(factory=list)
 
     def publish(self, hosts: tuple[platform.HostEntry, ...]) -> None:
-        """Change the list."""
+        """Replace the list; readers see it after ``lag_seconds``."""
         self._versions.append((self.loop.now, hosts))
 
     def read(self, host: str, answer: Callable[[tuple], None]) -> None:
-        """Answer a host with the list; nothing comes over a cut link."""
+        """Send the list to a host; there is no answer over a cut link."""
         if not self.network.connects(host, HOST_LIST_NAME):
             return
-        seen = self._versions[0][1]
+        visible = self._versions[0][1]
         for at, hosts in self._versions:
             if at + self.lag_seconds <= self.loop.now:
-                seen = hosts
+                visible = hosts
         delay = self.network.draw_delay(host, HOST_LIST_NAME)
-        self.loop.call_later(2 * delay, answer, seen)
+        self.loop.call_later(2 * delay, answer, visible)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,15 +1,11 @@
-"""Simulations of the core under faults, and broken variants that must be detected.
-
-A variant breaks one rule of the core. The checker of the simulation has to report a
-violation of a guarantee for it; otherwise the check would not detect a real fault.
-"""
+"""Fault runs of the core, and of broken variants that the checker must detect."""
 
 import pytest
 
-from benchmarks.faults import variants, world
+from benchmarks.faults import simulation, variants
 
 SEEDS = (1, 6, 8, 60)
-"""Seeds that have found faults of the core before; docs/faults.md lists them."""
+"""Seeds that exposed a fault of the core; docs/faults.md lists them."""
 
 PROMOTION_FAULTS = (
     "isolate_primary",
@@ -65,23 +61,22 @@
     ),
     "stop_at_once": ((1, 2, 3), 10, 9, ("drain_node", "flood")),
 }
-"""Seeds, seconds, callers and faults of each variant; one of the seeds must detect
-it."""
+"""Seeds, seconds, callers and faults of each variant; one seed must detect it."""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_core_keeps_the_guarantees(seed):
-    """Guards against violations of the guarantees under all kinds of faults."""
-    outcome = world.run_seed(
-        world.Options(seed=seed, seconds=12.0, settle_seconds=12.0)
+    """Guards against a guarantee that is broken under any kind of fault."""
+    outcome = simulation.run_seed(
+        simulation.Options(seed=seed, seconds=12.0, settle_seconds=12.0)
     )
     assert outcome.violations == []
 
 
 def test_same_seed_gives_the_same_run():
-    """Guards against a failure that cannot be reproduced from its seed."""
-    options = world.Options(seed=3, seconds=5.0, settle_seconds=2.0)
-    first, second = world.run_seed(options), world.run_seed(options)
+    """Guards against failures that cannot be reproduced from their seed."""
+    options = simulation.Options(seed=3, seconds=5.0, settle_seconds=2.0)
+    first, second = simulation.run_seed(options), simulation.run_seed(options)
     assert first.history == second.history
 
 
@@ -91,14 +86,14 @@
     seeds, seconds, callers, faults = CASES[name]
     with variants.apply_variant(name) as variant:
         for seed in seeds:
-            options = world.Options(
+            options = simulation.Options(
                 seed=seed,
                 seconds=float(seconds),
                 callers=callers,
                 faults=faults,
                 settle_seconds=6.0,
             )
-            outcome = world.run_seed(options)
+            outcome = simulation.run_seed(options)
             rules = {violation.rule for violation in outcome.violations}
             if rules & set(variant.rules):
                 return
