--- a/benchmarks/commands.py
+++ b/benchmarks/commands.py
@@ -1,4 +1,4 @@
-"""The command line that the benchmarks share."""
+"""Parses the command line that the benchmarks share and prints their reports."""
 
 import argparse
 import json
@@ -6,7 +6,7 @@
 
 
 def parse_arguments(description: str) -> argparse.Namespace:
-    """Return the seed and whether only the last line is wanted."""
+    """Parse the options ``--seed`` and ``--json``."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", action="store_true", help="print only the last line")
@@ -14,14 +14,14 @@
 
 
 def run_benchmark(run: Callable[[int], dict], description: str) -> None:
-    """Run a benchmark and print its report.
+    """Run a benchmark and print its report; the last line is the report as JSON.
 
     Parameters
     ----------
     run : callable
         Takes the seed and returns the report.
     description : str
-        Text of the help page.
+        Text that ``--help`` prints.
     """
     values = parse_arguments(description)
     report = run(values.seed)
--- a/benchmarks/fitting.py
+++ b/benchmarks/fitting.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points."""
+"""Fits straight lines to measured points."""
 
 from collections.abc import Sequence
 
@@ -7,19 +7,19 @@
 
 @attrs.frozen(kw_only=True)
 class Line:
-    """A line fitted by least squares.
+    """A straight line fitted by least squares, with the quality of the fit.
 
     Attributes
     ----------
     slope, intercept : float
         Coefficients of the line.
     largest_deviation : float
-        Largest distance of a point from the line, as a part of the largest
-        value; 0 if all values are 0.
+        Largest absolute residual, as a fraction of the largest absolute value; 0 if
+        all values are 0.
     points : int
-        Number of points.
+        Number of fitted points.
     last : float
-        Largest argument that was measured.
+        Largest fitted argument; the line is an extrapolation beyond it.
     """
 
     slope: float
@@ -29,7 +29,7 @@
     last: float
 
     def extrapolate(self, argument: float) -> float:
-        """Return the value of the line at an argument."""
+        """Return the value of the line at any argument."""
         return self.intercept + self.slope * argument
 
 
@@ -39,7 +39,7 @@
     Raises
     ------
     ValueError
-        If the arguments do not differ, because no slope follows from them.
+        If all arguments are equal, because the slope is undefined then.
     """
     count = len(arguments)
     mean_argument = sum(arguments) / count
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,7 +1,7 @@
-"""Nodes in one process that run membership under a virtual clock.
+"""Simulates the membership protocol of many nodes on a virtual clock.
 
-Messages are encoded and decoded as between processes. Loss, pauses and
-partitions are set by the caller; the network has a fixed random delay.
+All nodes run in one process. Messages are encoded and decoded as between processes
+and arrive after a random delay. The caller sets message loss, pauses and partitions.
 """
 
 import gc
@@ -16,12 +16,24 @@
 from hyssopshelf.membership import hosts
 
 DELAY_SECONDS = (0.0005, 0.012)
-"""Range of one-way delays: within a region and between regions."""
+"""Smallest and largest one-way delay: within a region, and between regions."""
 
 
 @attrs.define(kw_only=True)
 class Member:
-    """A node of the fleet."""
+    """A simulated node with its counters.
+
+    Attributes
+    ----------
+    up : bool
+        False after a crash.
+    paused_until : float
+        Virtual time at which a pause ends, in seconds.
+    busy_seconds : float
+        Processor time of event handling, encoding and decoding.
+    logged : list
+        Time, event and fields of each log action.
+    """
 
     board: blackboard.Blackboard
     up: bool = True
@@ -33,22 +45,24 @@
 
     @property
     def name(self) -> str:
-        """Return the host's name."""
+        """Return the name of the host."""
         return self.board.identity.host
 
 
 @attrs.define(kw_only=True)
 class Fleet:
-    """Members, the network between them and the virtual clock.
+    """The members, the network between them and the virtual clock.
 
     Attributes
     ----------
     loss : float
-        Probability that a message is lost.
+        Probability that the network drops a message.
     connected : callable
-        Whether messages between two hosts pass, for partitions.
-    steps : callables
-        Periodic work of each node.
+        Returns whether the network delivers messages from one host to another.
+    steps : tuple of callable
+        Functions that each node runs on every tick.
+    now : float
+        Virtual time in seconds.
     """
 
     random: random.Random
@@ -69,7 +83,7 @@
         incarnation: int = 1,
         seeds: tuple[str, ...] = (),
     ) -> Member:
-        """Start a node; its address is its name with a port."""
+        """Add a node with port 7100 and start its ticks at a random phase."""
         identity = blackboard.Identity(
             host=name,
             address=f"{name}:7100",
@@ -88,7 +102,7 @@
         return member
 
     def introduce(self, entries: tuple[platform.HostEntry, ...]) -> None:
-        """Give all members the table of hosts, as after a completed join."""
+        """Enter all hosts into the table of each member, as after a completed join."""
         for member in self.members.values():
             for entry in entries:
                 record = blackboard.HostRecord(
@@ -101,15 +115,15 @@
                 member.board.hosts[entry.name] = record
 
     def stop(self, name: str) -> None:
-        """Crash a node."""
+        """Crash a node; its pending messages and ticks are dropped."""
         self.members[name].up = False
 
     def pause(self, name: str, seconds: float) -> None:
-        """Pause a node; its messages wait."""
+        """Pause a node; its messages and ticks are handled when the pause ends."""
         self.members[name].paused_until = self.now + seconds
 
     def handle(self, member: Member, event: base.Event) -> None:
-        """Pass an event to a node and carry out its actions."""
+        """Let a node handle an event, then carry out the actions it returns."""
         started = time.process_time()
         board = member.board
         node._measure_pause(board, self.now)
@@ -129,7 +143,7 @@
         member.busy_seconds += time.process_time() - started
 
     def run(self, seconds: float) -> None:
-        """Advance the clock."""
+        """Advance the virtual clock and handle the events that fall due."""
         until = self.now + seconds
         while self._heap and self._heap[0][0] <= until:
             self.now, _, function, member, *rest = heapq.heappop(self._heap)
@@ -175,7 +189,7 @@
 
 
 def make_entries(count: int, places: int) -> tuple[platform.HostEntry, ...]:
-    """Return host list rows of a fleet that is spread over places."""
+    """Return entries of the host list, with the hosts spread evenly over places."""
     return tuple(
         platform.HostEntry(
             name=f"h{number:04}",
@@ -188,13 +202,13 @@
 
 
 def make_fleet(count: int, *, seed: int, places: int = 1, loss: float = 0.0) -> Fleet:
-    """Return a fleet whose members know each other."""
+    """Return a fleet in which every member knows all hosts."""
     fleet = Fleet(random=random.Random(seed), loss=loss)
     entries = make_entries(count, places)
     for entry in entries:
         fleet.start(entry.name, place=entry.place, region=entry.region)
     fleet.introduce(entries)
-    # The tables of all nodes in one process make collections far longer than in
-    # a process with one node.
+    # Garbage collections that scan the tables of all nodes would take far longer
+    # than in a process with one node and distort the measured processor time.
     gc.freeze()
     return fleet
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,8 +1,8 @@
-"""Real processes behind fault-injecting proxies, for tests and benchmarks.
+"""Starts real processes behind fault-injecting proxies for tests and benchmarks.
 
-A fleet is a store, a host list, one database of three endpoints and a few nodes,
-each a process of its own on a loopback address. Nodes reach endpoints, and
-replicas their primary, through fault proxies in the test's event loop.
+A fleet consists of a store, a host list, one database of three endpoints and a few
+nodes. Each is a separate process on a loopback address. Nodes connect to endpoints,
+and replicas to their primary, through fault proxies in the caller's event loop.
 """
 
 import asyncio
@@ -33,7 +33,11 @@
 
 
 class Process:
-    """A process that the test started."""
+    """A Python module that runs in a child process.
+
+    Variables of the environment whose name contains HYSSOPSHELF are not passed on.
+    Standard output and standard error go to the file ``log``.
+    """
 
     def __init__(self, module: str, *arguments: str, log: pathlib.Path) -> None:
         self.log = log
@@ -52,13 +56,19 @@
         self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process if it still runs, and wait until it has ended."""
         if self.popen.poll() is None:
             self.popen.kill()
         self.popen.wait()
 
     async def wait(self, seconds: float) -> int:
-        """Wait for the end of the process and return its exit status."""
+        """Wait until the process ends and return its exit status.
+
+        Raises
+        ------
+        TimeoutError
+            If the process still runs after ``seconds``.
+        """
         deadline = time.monotonic() + seconds
         while self.popen.poll() is None:
             if time.monotonic() > deadline:
@@ -67,15 +77,15 @@
         return self.popen.returncode
 
     def read_log(self) -> str:
-        """Return what the process has written."""
+        """Return the output of the process so far."""
         return self.log.read_text(encoding="utf-8", errors="replace")
 
 
 def choose_address() -> str:
-    """Return a loopback address that other test runs do not use.
+    """Return a loopback address that depends on the process id.
 
-    Ports that were free a moment ago are taken again on a busy machine unless
-    each run has an address of its own.
+    If all runs shared one address, another run could bind a port between the check
+    that it is free and its use.
     """
     number = os.getpid()
     return f"127.{1 + number // 62_500 % 250}.{number // 250 % 250}.{1 + number % 250}"
@@ -84,15 +94,15 @@
 ADDRESS = choose_address()
 
 FIRST_PORT = 10_000
-"""Ports are given out upwards from here, below those that the system chooses, so
-that neither another fleet of the run nor an outgoing connection takes them."""
+"""First port to allocate. It is below the range of ephemeral ports, so outgoing
+connections do not take allocated ports."""
 
 
 _PORTS = itertools.count(FIRST_PORT)
 
 
 def find_ports(count: int) -> list[int]:
-    """Return ports of this run's address that it has not used before."""
+    """Return free ports that this process has not returned before."""
     ports = []
     while len(ports) < count:
         port = next(_PORTS)
@@ -103,7 +113,18 @@
 
 
 class Fleet:
-    """All processes of a test."""
+    """The processes and fault proxies of one test or benchmark.
+
+    Attributes
+    ----------
+    fronts, backs : dict
+        Fault proxies by endpoint name: those through which nodes connect, and those
+        through which replicas fetch from the endpoint.
+    platform : list
+        The process of the store and the process of the host list.
+    addresses : dict
+        Client addresses of the nodes by host.
+    """
 
     def __init__(
         self,
@@ -177,7 +198,7 @@
             self.start_endpoint(name)
 
     def start_endpoint(self, name: str) -> None:
-        """Start an endpoint; a restarted one has an empty log."""
+        """Start an endpoint process with an empty replication log."""
         peers = ",".join(
             f"{POOL}/{DATABASE}/{other}={proxy.address}"
             for other, proxy in self.backs.items()
@@ -226,7 +247,7 @@
             await post(f"{ADDRESS}:{port}/v1/hosts", {"add": [row]})
 
     async def wait_until_ready(self, host: str) -> None:
-        """Wait until a node takes statements."""
+        """Wait until a node reports on ``/readyz`` that it accepts statements."""
         await self._wait_for(host, "readyz")
 
     async def _wait_for(self, host: str, path: str) -> None:
@@ -238,17 +259,19 @@
             except (OSError, tornado.httpclient.HTTPError):
                 if time.monotonic() > deadline:
                     log = self.nodes[host].read_log()[-3000:]
-                    raise TimeoutError(f"{host} not ready on {path}: {log}") from None
+                    raise TimeoutError(
+                        f"{host} did not become ready on /{path}: {log}"
+                    ) from None
                 await asyncio.sleep(0.05)
 
     async def _wait_for_primary(self) -> None:
-        """Wait until the group has its first primary and takes writes."""
+        """Wait until the database has a primary and accepts writes."""
         session = self.make_session()
         await session.append("start", "x", kind="scan", timeout_seconds=START_SECONDS)
         await session.close()
 
     def make_session(self, *hosts: str, seed: int = 1, **options) -> client.Session:
-        """Return a session that uses the given nodes, all by default."""
+        """Return a session that uses the given nodes, or all if none is given."""
         chosen = hosts or tuple(self.addresses)
         return client.Session(
             proxies=tuple(self.addresses[host] for host in chosen),
@@ -260,13 +283,13 @@
         )
 
     def find_address(self, name: str) -> str:
-        """Return the address at which nodes reach an endpoint."""
+        """Return the address to which nodes connect for an endpoint."""
         if self.behind_proxies:
             return self.fronts[name].address
         return f"{ADDRESS}:{self.endpoint_ports[name]}"
 
     def make_resources(self, leaving: str = "") -> list[dict]:
-        """Return the declared resources of the fleet."""
+        """Return the declared resources, with one endpoint marked as leaving."""
         endpoints = [
             {
                 "name": name,
@@ -305,7 +328,7 @@
         ]
 
     async def apply(self, rows: list[dict], host: str = "h1") -> str:
-        """Apply resources with the operators' command; return its output."""
+        """Apply resources with the operators' command and return its output."""
         path = self.folder / "resources.yaml"
         path.write_text(yaml.safe_dump_all(rows), encoding="utf-8")
         version = await self.read_version(host)
@@ -313,7 +336,7 @@
         return await self.command("apply", "-f", str(path), base, host=host)
 
     async def read_version(self, host: str) -> int:
-        """Return the version of the pool on a node, 0 if there is none."""
+        """Return the pool's configuration version on a node, or 0 if it has none."""
         try:
             body = await get(f"{self.addresses[host]}/v1/resources/{POOL}")
         except tornado.httpclient.HTTPClientError:
@@ -321,7 +344,13 @@
         return json.loads(body)["version"]
 
     async def command(self, *arguments: str, host: str = "h1") -> str:
-        """Run the operators' command against a node."""
+        """Run the operators' command against a node and return its output.
+
+        Raises
+        ------
+        RuntimeError
+            If the exit status is not 0.
+        """
         process = Process(
             "hyssopshelf.command.main",
             f"--server=http://{self.addresses[host]}",
@@ -330,18 +359,20 @@
         )
         status = await process.wait(20.0)
         if status != 0:
-            raise RuntimeError(f"{arguments} ended with {status}: {process.read_log()}")
+            raise RuntimeError(
+                f"{arguments} exited with {status}: {process.read_log()}"
+            )
         return process.read_log()
 
 
 async def get(address: str) -> bytes:
-    """Return the body of a GET request."""
+    """Send a GET request and return the body of the answer."""
     fetched = await tornado.httpclient.AsyncHTTPClient().fetch(f"http://{address}")
     return fetched.body
 
 
 async def post(address: str, body: dict) -> bytes:
-    """Return the body of a POST request; waits until the process listens."""
+    """Send a POST request, retrying until the server listens; return the body."""
     deadline = time.monotonic() + START_SECONDS
     while True:
         try:
--- a/benchmarks/tests/test_fitting.py
+++ b/benchmarks/tests/test_fitting.py
@@ -1,4 +1,4 @@
-"""The figures of docs/CAPACITY.md rest on these fits."""
+"""Tests of the line fits behind the figures in docs/CAPACITY.md."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 def test_line_through_exact_points():
-    """Guards against slope and intercept that are swapped or scaled."""
+    """Guards against a slope and an intercept that are swapped or scaled."""
     line = fitting.fit_line([100, 200, 400, 800], [7.0, 12.0, 22.0, 42.0])
     assert line.slope == pytest.approx(0.05)
     assert line.intercept == pytest.approx(2.0)
@@ -25,6 +25,6 @@
 
 
 def test_equal_arguments_are_refused():
-    """Guards against a slope that was made up from a single size."""
+    """Guards against a slope that is computed from a single argument."""
     with pytest.raises(ValueError, match="different arguments"):
         fitting.fit_line([5, 5], [1.0, 2.0])
--- a/benchmarks/tests/test_replica_reads.py
+++ b/benchmarks/tests/test_replica_reads.py
@@ -4,7 +4,7 @@
 
 
 def test_run_reports_reads_of_both_kinds_of_callers():
-    """Guards against a benchmark that no longer fits the fault runs it uses."""
+    """Guards against a benchmark that breaks when the fault simulation changes."""
     report = bench_replica_reads.run_lag(1, 0.0, load_seconds=6.0)
     assert report["violations"] == []
     assert report["reads"]["page.reader.bounded"]["count"] > 0
--- a/examples/order.py
+++ b/examples/order.py
@@ -1,7 +1,7 @@
-"""Writes an order and reads it back through whichever proxy answers.
+"""Writes an order and reads it back through any of the given proxies.
 
-Run it as ``python examples/order.py IP:PORT [IP:PORT ...]`` against a fleet with
-the declaration of examples/steyrtal.yaml.
+Run it as ``python examples/order.py IP:PORT [IP:PORT ...]`` against a fleet that has
+the resources of examples/steyrtal.yaml applied.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 
 
 async def run(proxies: tuple[str, ...]) -> None:
-    """Append an order once, however often it has to be sent."""
+    """Append an order; the idempotency key keeps retries from appending it twice."""
     session = client.Session(
         proxies=proxies, pool="mondkartei", database="orders", partner="steyrtal"
     )
