--- a/benchmarks/bench_failover_processes.py
+++ b/benchmarks/bench_failover_processes.py
@@ -62,7 +62,7 @@
     if fault == "killed":
         fleet.endpoints[primary].kill()
     elif fault == "cut_off":
-        fleet.backs[primary].disconnect()
+        fleet.replication_proxies[primary].disconnect()
     elif fault == "paused":
         fleet.endpoints[primary].send_signal(signal.SIGSTOP)
     else:
@@ -90,7 +90,7 @@
         tasks = [asyncio.ensure_future(writer.run()) for writer in writers]
         await asyncio.sleep(WARM_SECONDS)
         if not store_up:
-            fleet.platform[0].kill()
+            fleet.platform_processes[0].kill()
         await break_primary(fleet, fault, primary)
         await asyncio.sleep(LOAD_SECONDS)
         for writer in writers:
--- a/benchmarks/commands.py
+++ b/benchmarks/commands.py
@@ -23,8 +23,8 @@
     description : str
         Text that ``--help`` prints.
     """
-    values = parse_arguments(description)
-    report = run(values.seed)
-    if not values.json:
+    options = parse_arguments(description)
+    report = run(options.seed)
+    if not options.json:
         print(json.dumps(report, indent=1))
     print(json.dumps(report))
--- a/benchmarks/fitting.py
+++ b/benchmarks/fitting.py
@@ -18,7 +18,7 @@
         all values are 0.
     points : int
         Number of fitted points.
-    last : float
+    largest_argument : float
         Largest fitted argument; the line is an extrapolation beyond it.
     """
 
@@ -26,7 +26,7 @@
     intercept: float
     largest_deviation: float
     points: int
-    last: float
+    largest_argument: float
 
     def extrapolate(self, argument: float) -> float:
         """Return the value of the line at any argument."""
@@ -44,18 +44,20 @@
     count = len(arguments)
     mean_argument = sum(arguments) / count
     mean_value = sum(values) / count
-    spread = sum((argument - mean_argument) ** 2 for argument in arguments)
-    if spread == 0.0:
+    sum_of_squares = sum((argument - mean_argument) ** 2 for argument in arguments)
+    if sum_of_squares == 0.0:
         raise ValueError("a line needs points with different arguments")
     pairs = list(zip(arguments, values, strict=True))
-    slope = sum((x - mean_argument) * (y - mean_value) for x, y in pairs) / spread
+    slope = (
+        sum((x - mean_argument) * (y - mean_value) for x, y in pairs) / sum_of_squares
+    )
     intercept = mean_value - slope * mean_argument
-    largest = max(abs(value) for value in values)
+    largest_value = max(abs(value) for value in values)
     deviation = max(abs(y - intercept - slope * x) for x, y in pairs)
     return Line(
         slope=slope,
         intercept=intercept,
-        largest_deviation=deviation / largest if largest else 0.0,
+        largest_deviation=deviation / largest_value if largest_value else 0.0,
         points=count,
-        last=max(arguments),
+        largest_argument=max(arguments),
     )
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -101,7 +101,7 @@
         self._push(self.now + offset, self._tick, member)
         return member
 
-    def introduce(self, entries: tuple[platform.HostEntry, ...]) -> None:
+    def fill_host_tables(self, entries: tuple[platform.HostEntry, ...]) -> None:
         """Enter all hosts into the table of each member, as after a completed join."""
         for member in self.members.values():
             for entry in entries:
@@ -146,18 +146,18 @@
         """Advance the virtual clock and handle the events that fall due."""
         until = self.now + seconds
         while self._heap and self._heap[0][0] <= until:
-            self.now, _, function, member, *rest = heapq.heappop(self._heap)
+            self.now, _, function, member, *arguments = heapq.heappop(self._heap)
             if not member.up:
                 continue
             if self.now < member.paused_until:
-                self._push(member.paused_until, function, member, *rest)
+                self._push(member.paused_until, function, member, *arguments)
                 continue
-            function(member, *rest)
+            function(member, *arguments)
         self.now = until
 
-    def _push(self, at: float, function, member: Member, *rest) -> None:
+    def _push(self, at: float, function, member: Member, *arguments) -> None:
         self._count += 1
-        heapq.heappush(self._heap, (at, self._count, function, member, *rest))
+        heapq.heappush(self._heap, (at, self._count, function, member, *arguments))
 
     def _tick(self, member: Member) -> None:
         self.handle(member, base.Ticked())
@@ -207,7 +207,7 @@
     entries = make_entries(count, places)
     for entry in entries:
         fleet.start(entry.name, place=entry.place, region=entry.region)
-    fleet.introduce(entries)
+    fleet.fill_host_tables(entries)
     # Garbage collections that scan the tables of all nodes would take far longer
     # than in a process with one node and distort the measured processor time.
     gc.freeze()
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -101,7 +101,7 @@
 _PORTS = itertools.count(FIRST_PORT)
 
 
-def find_ports(count: int) -> list[int]:
+def allocate_ports(count: int) -> list[int]:
     """Return free ports that this process has not returned before."""
     ports = []
     while len(ports) < count:
@@ -117,10 +117,10 @@
 
     Attributes
     ----------
-    fronts, backs : dict
+    node_proxies, replication_proxies : dict
         Fault proxies by endpoint name: those through which nodes connect, and those
         through which replicas fetch from the endpoint.
-    platform : list
+    platform_processes : list
         The process of the store and the process of the host list.
     addresses : dict
         Client addresses of the nodes by host.
@@ -144,12 +144,12 @@
         self.endpoint_places = endpoint_places
         self.log_level = log_level
         self.behind_proxies = behind_proxies
-        self.fronts: dict[str, faultproxy.FaultProxy] = {}
-        self.backs: dict[str, faultproxy.FaultProxy] = {}
+        self.node_proxies: dict[str, faultproxy.FaultProxy] = {}
+        self.replication_proxies: dict[str, faultproxy.FaultProxy] = {}
         self.endpoints: dict[str, Process] = {}
         self.nodes: dict[str, Process] = {}
         self.addresses: dict[str, str] = {}
-        self.platform: list[Process] = []
+        self.platform_processes: list[Process] = []
         self.endpoint_ports: dict[str, int] = {}
 
     async def __aenter__(self) -> "Fleet":
@@ -161,17 +161,21 @@
         return self
 
     async def __aexit__(self, *exception) -> None:
-        everything = (*self.nodes.values(), *self.endpoints.values(), *self.platform)
-        for process in everything:
+        started = (
+            *self.nodes.values(),
+            *self.endpoints.values(),
+            *self.platform_processes,
+        )
+        for process in started:
             process.kill()
-        for proxy in (*self.fronts.values(), *self.backs.values()):
+        for proxy in (*self.node_proxies.values(), *self.replication_proxies.values()):
             proxy.close()
         await asyncio.sleep(0)
 
     async def _start(self) -> None:
-        ports = find_ports(5 + 2 * self.node_count)
+        ports = allocate_ports(5 + 2 * self.node_count)
         self.store_port, hosts_port = ports[0], ports[1]
-        self.platform = [
+        self.platform_processes = [
             self._run("hyssopshelf.standins.daemon", "store", self.store_port),
             self._run("hyssopshelf.standins.daemon", "hosts", hosts_port),
         ]
@@ -191,7 +195,7 @@
         for name, port in zip("abc", ports, strict=True):
             target = f"{ADDRESS}:{port}"
             self.endpoint_ports[name] = port
-            for proxies in (self.fronts, self.backs):
+            for proxies in (self.node_proxies, self.replication_proxies):
                 proxies[name] = faultproxy.FaultProxy(target=target)
                 proxies[name].start_listening()
         for name in self.endpoint_ports:
@@ -201,7 +205,7 @@
         """Start an endpoint process with an empty replication log."""
         peers = ",".join(
             f"{POOL}/{DATABASE}/{other}={proxy.address}"
-            for other, proxy in self.backs.items()
+            for other, proxy in self.replication_proxies.items()
             if other != name
         )
         self.endpoints[name] = Process(
@@ -248,9 +252,9 @@
 
     async def wait_until_ready(self, host: str) -> None:
         """Wait until a node reports on ``/readyz`` that it accepts statements."""
-        await self._wait_for(host, "readyz")
+        await self._wait_for_path(host, "readyz")
 
-    async def _wait_for(self, host: str, path: str) -> None:
+    async def _wait_for_path(self, host: str, path: str) -> None:
         deadline = time.monotonic() + START_SECONDS
         while True:
             try:
@@ -285,7 +289,7 @@
     def find_address(self, name: str) -> str:
         """Return the address to which nodes connect for an endpoint."""
         if self.behind_proxies:
-            return self.fronts[name].address
+            return self.node_proxies[name].address
         return f"{ADDRESS}:{self.endpoint_ports[name]}"
 
     def make_resources(self, leaving: str = "") -> list[dict]:
@@ -333,7 +337,7 @@
         path.write_text(yaml.safe_dump_all(rows), encoding="utf-8")
         version = await self.read_version(host)
         base = f"--base-version={version}"
-        return await self.command("apply", "-f", str(path), base, host=host)
+        return await self.run_command("apply", "-f", str(path), base, host=host)
 
     async def read_version(self, host: str) -> int:
         """Return the pool's configuration version on a node, or 0 if it has none."""
@@ -343,7 +347,7 @@
             return 0
         return json.loads(body)["version"]
 
-    async def command(self, *arguments: str, host: str = "h1") -> str:
+    async def run_command(self, *arguments: str, host: str = "h1") -> str:
         """Run the operators' command against a node and return its output.
 
         Raises
--- a/benchmarks/tests/test_fitting.py
+++ b/benchmarks/tests/test_fitting.py
@@ -12,7 +12,7 @@
     assert line.intercept == pytest.approx(2.0)
     assert line.extrapolate(5100) == pytest.approx(257.0)
     assert line.largest_deviation == pytest.approx(0.0)
-    assert (line.points, line.last) == (4, 800)
+    assert (line.points, line.largest_argument) == (4, 800)
 
 
 def test_deviation_of_a_curve():
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -128,15 +128,15 @@
         session = fleet.make_session(timeout_seconds=1.0)
         unknown, not_run = [], []
         for number in range(3):
-            for front in fleet.fronts.values():
-                front.faults.answers_dropped = True
+            for proxy in fleet.node_proxies.values():
+                proxy.faults.answers_dropped = True
             with pytest.raises(exceptions.AnswerError) as error:
                 await session.append("lost", str(number), kind="scan")
             ran = error.value.disposition.ran is exceptions.Ran.UNKNOWN
             (unknown if ran else not_run).append(str(number))
-            for front in fleet.fronts.values():
-                front.disconnect()
-                front.clear_faults()
+            for proxy in fleet.node_proxies.values():
+                proxy.disconnect()
+                proxy.clear_faults()
             await asyncio.sleep(0.5)
         values = await read_values(fleet, "lost")
         assert "0" in unknown
@@ -152,13 +152,13 @@
 
     async def scenario(fleet):
         session = fleet.make_session(timeout_seconds=1.0)
-        for front in fleet.fronts.values():
-            front.faults.answers_dropped = True
+        for proxy in fleet.node_proxies.values():
+            proxy.faults.answers_dropped = True
         with pytest.raises(exceptions.AnswerError):
             await session.append("once", "x", kind="scan", idempotency_key="k1")
-        for front in fleet.fronts.values():
-            front.disconnect()
-            front.clear_faults()
+        for proxy in fleet.node_proxies.values():
+            proxy.disconnect()
+            proxy.clear_faults()
         await session.append(
             "once", "x", kind="scan", idempotency_key="k1", timeout_seconds=20.0
         )
@@ -247,7 +247,7 @@
         if fault == "killed":
             fleet.endpoints[primary].kill()
         else:
-            fleet.backs[primary].disconnect()
+            fleet.replication_proxies[primary].disconnect()
         loop = asyncio.get_running_loop()
         stopped_at = loop.time()
         number = 10
