--- a/benchmarks/control_fleet.py
+++ b/benchmarks/control_fleet.py
@@ -1,8 +1,8 @@
-"""One real node among light peers, endpoints and a store on a virtual clock.
+"""Simulates the control traffic of one real node on a virtual clock.
 
-The node is the whole core. Its peers only answer: they are no nodes, but they
-use the same message classes. What the node starts towards a random peer, some
-peer starts towards the node, because all nodes do the same work.
+The node runs the whole core; its peers are models that answer with real messages.
+For each exchange that the node starts with a random peer, a peer starts one with
+the node, because all nodes do the same work.
 """
 
 import functools
@@ -34,7 +34,7 @@
 REGIONS = 5
 POOL_DATABASES = 3
 PEER_SECONDS = 0.01
-"""Time from a message to its answer; the longest is 25 ms."""
+"""Time between a message of the node and the answer; at most 25 ms in a fleet."""
 
 ENDPOINT_SECONDS = 0.001
 STORE_SECONDS = 0.003
@@ -45,18 +45,18 @@
 
 @attrs.frozen(kw_only=True)
 class Size:
-    """What a node has to control.
+    """The size of the fleet and of its configuration.
 
     Attributes
     ----------
     hosts, databases : int
         Size of the fleet and of the configuration.
     served, watched : int
-        Endpoints that the node serves and databases that it watches.
+        Number of endpoints that the node serves and of databases that it watches.
     alone : bool
-        The node is the only host of its place, so that it serves exactly
-        ``served`` endpoints. Otherwise its place is like all others and
-        placement decides.
+        Whether the node is the only host of its place, so that it serves exactly
+        ``served`` endpoints. Otherwise other hosts share its place, and placement
+        decides.
     """
 
     hosts: int
@@ -68,10 +68,10 @@
 
 @attrs.define(kw_only=True)
 class Costs:
-    """What the node spent since the counters were reset.
+    """Resources that the node used since the counters were reset.
 
-    ``seconds`` is processor time of the core and of the codec; the sockets are
-    measured on their own and added by the benchmark.
+    ``seconds`` is processor time of core and codec, ``longest`` that of the slowest
+    event. The benchmark adds the cost of sockets, which socket_costs measures.
     """
 
     seconds: float = 0.0
@@ -87,7 +87,7 @@
 
 
 def clear_caches() -> None:
-    """Empty the caches of hashes, so that memory is counted from the start."""
+    """Empty the caches of hashes, so that their memory counts for the next node."""
     for cached in (
         rendezvous.hash_text,
         gossip.get_bucket,
@@ -97,7 +97,7 @@
 
 
 def make_rows(count: int) -> dict[str, gossip.Row]:
-    """Return the rows of all hosts but the node's own."""
+    """Return the membership rows of all hosts except the node's own, by name."""
     rows = {}
     for number in range(count - 1):
         name = f"h{number:04}"
@@ -111,9 +111,9 @@
 def make_documents(size: Size, names: list[str]) -> dict[str, resources.Document]:
     """Return the documents of all pools.
 
-    Exactly ``size.watched`` databases have a name for which the node is a
-    watcher. One endpoint of ``size.served`` databases is at the place of the
-    node if that is its only host.
+    The node is a watcher of exactly ``size.watched`` databases; names are tried until
+    they fit. If the node is the only host of its place, ``size.served`` databases have
+    an endpoint in that place.
     """
     ring = watchers.Ring([*names, OWN])
     number = watched = 0
@@ -190,7 +190,7 @@
 
 
 def pack(document: resources.Document) -> tuple[versions.Summary, bytes]:
-    """Return the summary and the compressed form of a document."""
+    """Return the summary of a document and its compressed encoding."""
     text = declarations.encode_document(document)
     summary = versions.Summary(
         version=document.version,
@@ -201,12 +201,12 @@
 
 
 class ControlFleet:
-    """The node under measurement and what is around it.
+    """The node under measurement and the models of its environment.
 
     Parameters
     ----------
     size : Size
-        What the node has to control.
+        Size of the fleet and of its configuration.
     seed : int
         Seed of the node and of the peers.
     """
@@ -245,7 +245,7 @@
         heapq.heappush(self._heap, (at, self._count, function, arguments))
 
     def run(self, seconds: float) -> None:
-        """Advance the clock."""
+        """Advance the virtual clock and make the calls that fall due."""
         until = self.now + seconds
         while self._heap and self._heap[0][0] <= until:
             self.now, _, function, arguments = heapq.heappop(self._heap)
@@ -253,13 +253,13 @@
         self.now = until
 
     def start(self, limit_seconds: float = 120.0) -> float:
-        """Run until the node is ready and has placed all endpoints."""
+        """Run until the node is ready and has placed all endpoints, or the limit."""
         while self.now < limit_seconds and not self.is_settled():
             self.run(0.5)
         return self.now
 
     def is_settled(self) -> bool:
-        """Return whether configuration and placement are complete."""
+        """Return whether the configuration is ready and all endpoints are placed."""
         tables = self.board.placement_state.tables.values()
         return (
             self.board.configuration_ready
@@ -268,12 +268,11 @@
         )
 
     def serve_statements(self) -> None:
-        """Create the queues and accounts that statements leave at the node.
+        """Create the queues and accounts that a node has under load.
 
-        No statement runs. Slot time is added and the status of the served
-        endpoints is renewed four times a second, so that usage, billing and
-        polls are as under load: at the target size each endpoint answers 200
-        statements a second.
+        No statement runs. Four times a second, slot time is added and the status of
+        the served endpoints is renewed, so that usage reports, billing and polls are
+        as under load: 200 statements a second at each endpoint at the target size.
         """
         for name in sorted(self.board.placement_state.served_endpoints):
             pool = self.board.endpoints[name].pool
@@ -283,12 +282,12 @@
         self.schedule(self.now, self._add_slot_time)
 
     def reset(self) -> Costs:
-        """Start new counters and return the old ones."""
+        """Reset the counters and return their previous values."""
         costs, self.costs = self.costs, Costs()
         return costs
 
     def deliver(self, host: str, message: object, seconds: float = 0.0) -> None:
-        """Send a message of a peer to the node."""
+        """Deliver an encoded message from a peer to the node after a delay."""
         envelope = messages.Envelope(
             host=host, address=self.rows[host][4], message=message
         )
@@ -296,7 +295,7 @@
         self.schedule(self.now + seconds, self._receive, data)
 
     def handle(self, event: base.Event) -> None:
-        """Pass an event to the node and carry out its actions."""
+        """Let the node handle an event, then carry out the actions it returns."""
         started = time.process_time()
         actions = self.node.handle(event, self.now)
         elapsed = time.process_time() - started
@@ -339,7 +338,7 @@
         return self.random.choice(self.names)
 
     def change_document(self, pool: str) -> None:
-        """Commit a new version of a pool's document; a peer offers it."""
+        """Create a new version of a pool's document and let a peer offer it."""
         held = self.documents[pool]
         changed = attrs.evolve(
             held,
@@ -352,7 +351,7 @@
         self.deliver(self.choose_host(), offer)
 
     def tell(self, rows: list[gossip.Row]) -> None:
-        """Pass rows to the node in messages of a few peers."""
+        """Deliver each part of the rows to the node in messages of two random peers."""
         for start in range(0, len(rows), gossip.MAXIMUM_ROWS):
             part = tuple(rows[start : start + gossip.MAXIMUM_ROWS])
             for _ in range(2):
@@ -362,7 +361,7 @@
                 self.deliver(host, message, delay)
 
     def fail(self, names: list[str]) -> None:
-        """Let hosts die without notice: suspicion first, death 3 s later."""
+        """Crash hosts: peers report a suspicion, and 3 s later the death."""
         self.tell([_make_short_row(self.rows[name], gossip.SUSPECT) for name in names])
         self.schedule(self.now + 3.0, self._declare_dead, names)
 
@@ -370,14 +369,14 @@
         self.tell([_make_short_row(self.rows[name], gossip.DEAD) for name in names])
 
     def come_back(self, names: list[str]) -> None:
-        """Start hosts anew with a higher incarnation."""
+        """Start crashed hosts again with a higher incarnation."""
         for name in names:
             row = self.rows[name]
             self.rows[name] = (name, row[1] + 1, 0, gossip.ALIVE, *row[4:])
         self.tell([self.rows[name] for name in names])
 
     def restart_host(self) -> None:
-        """Drain a host, and start it anew 10 s later."""
+        """Drain a random host and start it again 10 s later."""
         name = self.choose_host()
         row = self.rows[name]
         self.rows[name] = (name, row[1], row[2] + 1, gossip.LEAVING, *row[4:])
@@ -392,7 +391,7 @@
 
 @functools.singledispatch
 def carry_out(action, fleet: ControlFleet) -> None:
-    """Carry out an action of the node; logs and connections cost nothing here."""
+    """Carry out an action of the node; actions without a handler are ignored."""
 
 
 @carry_out.register
@@ -439,7 +438,7 @@
 
 
 def run_operation(operation, fleet: ControlFleet) -> tuple[result.Result, float]:
-    """Return the store's answer and the time that it takes."""
+    """Return the store's answer and its delay in seconds."""
     if fleet.store_down:
         return result.Err("the store is down"), STORE_SECONDS
     if isinstance(operation, platform.Watch):
@@ -462,7 +461,7 @@
 
 
 def make_status(endpoint: str, primary: str) -> messages.EndpointStatus:
-    """Return the status of an endpoint of a healthy database."""
+    """Return the status of an endpoint of a database without faults."""
     role = messages.Role.PRIMARY if endpoint == primary else messages.Role.REPLICA
     return messages.EndpointStatus(
         name=endpoint,
@@ -480,7 +479,7 @@
 
 @functools.lru_cache(maxsize=1)
 def measure_probe_bytes(endpoint: str, probe_id: str) -> int:
-    """Return the bytes of a status call; names differ by a few bytes only."""
+    """Return the bytes of a status call; cached, as names hardly differ in size."""
     status = make_status(endpoint, endpoint)
     call = messages.to_json(wire.ControlFrame(id=probe_id))
     reply = messages.to_json(
@@ -491,7 +490,7 @@
 
 @functools.singledispatch
 def answer(message, fleet: ControlFleet, host: str) -> None:
-    """Answer a message that the node sent to a peer."""
+    """Answer a message from the node as a peer; other messages get no answer."""
 
 
 @answer.register
@@ -561,7 +560,7 @@
 @answer.register
 def _(message: dissemination.Offer, fleet: ControlFleet, host: str) -> None:
     fleet.deliver(fleet.choose_host(), message, PEER_SECONDS)
-    # Every node pulls a document once, so one of the offers of a node is taken.
+    # A node pulls each document once, so on average one of its offers is answered.
     offers = dissemination.OFFERS_PER_ROUND * dissemination.OFFER_ROUNDS
     for summary in message.summaries:
         if fleet.random.random() < 1.0 / offers:
@@ -585,7 +584,7 @@
 
 @answer.register
 def _(message: accounts.AccountCopy, fleet: ControlFleet, host: str) -> None:
-    # The accounts that the node keeps for others are of other pools.
+    # The node stores the account copies of other hosts, which are of other pools.
     index = fleet.pools.index(message.pool) + fleet.names.index(host) + 1
     pool = fleet.pools[index % len(fleet.pools)]
     copy = attrs.evolve(message, pool=pool, host=host)
--- a/benchmarks/failover_fleet.py
+++ b/benchmarks/failover_fleet.py
@@ -1,7 +1,7 @@
-"""Fleet on a virtual clock for bench_failover: real nodes, pure instances.
+"""Simulates failover for bench_failover: real nodes on a virtual clock.
 
-The runtime's adapters are replaced by delays: a killed endpoint refuses, a
-paused one answers when it resumes, and a cut link loses messages.
+Instances and the store are models, and delays replace the runtime's adapters. A
+killed endpoint refuses, a paused one answers later, a partition drops messages.
 """
 
 import collections
@@ -31,7 +31,7 @@
 
 
 def build_document() -> resources.Document:
-    """Return a pool with one database of three endpoints in three places."""
+    """Return the document of a pool: one database, an endpoint in each of 3 places."""
     endpoints = tuple(
         resources.EndpointSpec(name=name, address="127.0.0.1:1", place=place)
         for name, place in zip("abc", PLACES, strict=True)
@@ -69,7 +69,7 @@
 
 @attrs.define(kw_only=True)
 class Write:
-    """A write of the load and its outcome."""
+    """A write and its outcome; ``replaced`` if a newer term preceded the answer."""
 
     value: str
     kind: str
@@ -82,12 +82,12 @@
 
     @property
     def acknowledged(self) -> bool:
-        """Return whether the caller got an acknowledgement."""
+        """Return whether the write was answered without an error."""
         return self.answer is not None and self.answer.error is None
 
 
 class Store:
-    """The platform's store, as far as failover uses it."""
+    """A model of the platform's store with the operations that failover uses."""
 
     def __init__(self) -> None:
         self.down = False
@@ -96,7 +96,7 @@
         self._numbers = itertools.count(1)
 
     def call(self, operation, now: float):
-        """Carry out an operation; lapsed leases drop their keys."""
+        """Delete the keys of expired leases, then carry out an operation."""
         for key, (_, lease) in list(self.entries.items()):
             if lease and self.leases.get(lease, 0.0) <= now:
                 del self.entries[key]
@@ -112,7 +112,7 @@
                 return Ok(self.entries.get(operation.key, (None, 0))[0])
             case platform.CompareAndSwap():
                 return Ok(self._swap(operation))
-        return Err("not supported")
+        return Err("operation not supported by the simulated store")
 
     def _swap(self, operation) -> platform.Swapped:
         current = self.entries.get(operation.key, (None, 0))[0]
@@ -127,7 +127,7 @@
 
 
 class Fleet:
-    """Nodes, instances, a store and a load of writes on one virtual clock."""
+    """Nodes, instances, a store and a write load; delays are in seconds."""
 
     def __init__(self, *, seed: int, delay: float, hosts_by_place: int = 2) -> None:
         self.now = 0.0
@@ -173,29 +173,29 @@
         for name in self.instances:
             self._at(self.random.random() * 0.01, lambda n=name: self._fetch(n))
 
-    # Clock and links.
+    # Clock and network.
 
     def run(self, until: float) -> None:
-        """Advance the clock."""
+        """Run all calls that are due until a time of the virtual clock."""
         while self.queue and self.queue[0][0] <= until:
             self.now, _, call = heapq.heappop(self.queue)
             call()
         self.now = until
 
     def at(self, time: float, call) -> None:
-        """Do something at a time."""
+        """Schedule a call at a time of the virtual clock."""
         heapq.heappush(self.queue, (time, next(self.order), call))
 
     def isolate(self, name: str, others) -> None:
-        """Cut the links between one member and others."""
+        """Drop all later messages between one member and others."""
         self.cut |= {frozenset((name, other)) for other in others}
 
     def pause(self, name: str, seconds: float) -> None:
-        """Pause a member; what arrives waits until it resumes."""
+        """Pause a member; messages that arrive meanwhile wait until it resumes."""
         self.paused[name] = self.now + seconds
 
     def kill_endpoint(self, name: str) -> None:
-        """Kill an endpoint; its connections close."""
+        """Kill an endpoint and close its connections."""
         self.down.add(name)
         for connection, (host, endpoint) in list(self.connections.items()):
             if endpoint == name:
@@ -212,7 +212,7 @@
         return LOCAL_DELAY_SECONDS if same else self.delay
 
     def _send(self, source: str, target: str, call, lost=None) -> None:
-        """Call at the target after the delay, or ``lost`` if the link is cut."""
+        """Call ``call`` at the target after the delay, or ``lost`` if partitioned."""
 
         def arrive():
             if frozenset((source, target)) in self.cut:
@@ -241,7 +241,7 @@
         self._at(delay, tick)
 
     def handle(self, host: str, event) -> None:
-        """Give an event to a node and carry out its actions."""
+        """Let a node handle an event, then carry out the actions it returns."""
         if host in self.down:
             return
         for action in self.nodes[host].handle(event, self.now):
@@ -301,7 +301,7 @@
     # Endpoints.
 
     def _ask(self, host: str, endpoint: str, work, build_event) -> None:
-        """Do work at an endpoint; None is its result without an answer."""
+        """Call ``work`` at an endpoint; without an answer its result is None."""
 
         def fail(delay=PROBE_TIMEOUT_SECONDS):
             self._at(delay, lambda: self.handle(host, build_event(None)))
@@ -382,7 +382,7 @@
         self._send(host, endpoint, arrive)
 
     def _fetch(self, name: str) -> None:
-        """Pull replication data without end; a lost fetch is repeated."""
+        """Fetch replication data in a loop; a lost fetch is sent again after 0.2 s."""
         instance = self.instances[name]
         sent_at = self.now
         request = None if name in self.down else instance.request_fetch(self.now)
@@ -413,7 +413,7 @@
     # Load.
 
     def write(self, host: str, kind: str) -> None:
-        """Send one write to a node."""
+        """Send one write to a node and record it."""
         value = f"w{len(self.writes)}"
         self.writes[value] = Write(value=value, kind=kind, host=host, sent_at=self.now)
         statement = messages.Statement(
@@ -430,7 +430,7 @@
         self.handle(host, base.StatementReceived(caller=value, statement=statement))
 
     def load(self, hosts: list[str], interval: float, until: float) -> None:
-        """Write at a steady rate, alternating hosts and kinds of work."""
+        """Write every ``interval`` seconds, alternating kinds of work and hosts."""
 
         def send(number):
             if self.now >= until:
@@ -453,7 +453,7 @@
             write.replaced = write.term < newest
 
     def _note_confirmations(self, host: str) -> None:
-        """Note how long each write waits between its answer and its release."""
+        """Record how long each write waits for confirmation before its release."""
         board = self.nodes[host].board
         waiting = self.waiting[host]
         for ticket_id in [name for name in waiting if name not in board.tickets]:
@@ -462,10 +462,10 @@
         for ticket in board.tickets.values():
             waiting.setdefault(ticket.id, (ticket.level.value, ticket.filed_at))
 
-    # Figures.
+    # Results.
 
     def find_primary(self) -> str:
-        """Return the primary of the highest term."""
+        """Return the live primary of the highest term, or an empty string."""
         candidates = [
             (instance.term, name)
             for name, instance in self.instances.items()
@@ -474,7 +474,7 @@
         return max(candidates)[1] if candidates else ""
 
     def measure_gap(self, kind: str, start: float, end: float) -> float:
-        """Return the longest time without an acknowledged write of a kind."""
+        """Return the longest time without an acknowledged write, in seconds."""
         times = sorted(
             write.answered_at
             for write in self.writes.values()
@@ -486,7 +486,7 @@
         return max(second - first for first, second in itertools.pairwise(times))
 
     def count_lost(self, kind: str) -> int:
-        """Return how many acknowledged writes are not in the primary's log."""
+        """Return how many acknowledged writes the current primary's value lacks."""
         primary = self.find_primary()
         held = set()
         if primary:
--- a/benchmarks/socket_costs.py
+++ b/benchmarks/socket_costs.py
@@ -1,7 +1,7 @@
-"""Processor time of the sockets and of the timer, measured on loopback.
+"""Measures the processor time of socket operations and of the timer on loopback.
 
-Messages are paced, because a node that spends its time on control sends a few
-dozen a second: each one then wakes the process up on its own.
+Operations are paced: a node sends only a few dozen control messages a second, so
+each one wakes the process up separately.
 """
 
 import asyncio
@@ -24,26 +24,26 @@
 PACE_SECONDS = 0.002
 COUNT = 200
 ROUNDS = 3
-"""The cheapest round counts, because the machine is shared."""
+"""The fastest round is reported, because other load on the machine adds time."""
 
 MESSAGE_BYTES = 250
-"""Mean size of the control messages of a node, see bench_control."""
+"""Mean size of a node's control messages as measured by bench_control."""
 
 ENDPOINT = "pool0000/d0/a"
 
 
 @attrs.frozen(kw_only=True)
 class SocketCosts:
-    """Processor seconds of one operation at the node.
+    """Processor time of one operation at the node, in seconds.
 
     Attributes
     ----------
     tick : float
-        Timer callback of the event loop without any work.
+        Timer callback of the event loop that does nothing.
     message : float
-        Sending or receiving one message: half of what both ends took.
+        Sending or receiving one message: half the cost of both ends together.
     probe : float
-        A status call with its JSON, only the client's end.
+        Status call with its JSON codec, only the client's end.
     """
 
     tick: float
@@ -52,7 +52,7 @@
 
 
 def measure() -> SocketCosts:
-    """Measure all costs."""
+    """Measure the cost of each operation in an event loop of its own."""
     return asyncio.run(_measure())
 
 
@@ -68,7 +68,7 @@
 
 
 async def _pace(function, clock) -> float:
-    """Call a function at a fixed pace; return the processor time of one call."""
+    """Call a function at a fixed pace and return the lowest mean cost of a call."""
     return min([await _run_round(function, clock) for _ in range(ROUNDS)])
 
 
@@ -117,12 +117,12 @@
     dialer.close()
     inbox.close()
     if received < COUNT * ROUNDS:
-        raise RuntimeError(f"only {received} messages of {COUNT * ROUNDS} arrived")
+        raise RuntimeError(f"only {received} of {COUNT * ROUNDS} messages arrived")
     return cost
 
 
 class _StatusHandler(tornado.websocket.WebSocketHandler):
-    """Answers every control call with the same status."""
+    """Answers every control call with the status of a healthy primary."""
 
     def on_message(self, message) -> None:
         frame = messages.from_json(message, wire.ControlFrame)
