--- a/benchmarks/bench_bad_hours.py
+++ b/benchmarks/bench_bad_hours.py
@@ -23,7 +23,7 @@
 
 def serve_snapshot(fleet) -> dict:
     """Return what it costs to give the whole snapshot to a starting node."""
-    fleet.reset()
+    fleet.reset_costs()
     asker, after = fleet.names[0], ""
     while True:
         fleet.deliver(asker, snapshots.SnapshotRequest(after=after))
@@ -32,7 +32,7 @@
         after = names[: snapshots.PART_DOCUMENTS][-1]
         if after == fleet.pools[-1]:
             break
-    costs = fleet.reset()
+    costs = fleet.reset_costs()
     return {
         "processor_seconds": round(costs.seconds, 2),
         "sent_bytes": costs.sent_bytes,
@@ -46,9 +46,9 @@
     # A place and a region that the node itself is not in.
     column = fleet.rows[fleet.names[1]][index]
     names = [name for name in fleet.names if fleet.rows[name][index] == column]
-    fleet.fail(names)
+    fleet.fail_hosts(names)
     lost = measure(fleet, 1, sockets)
-    fleet.come_back(names)
+    fleet.rejoin_hosts(names)
     back = measure(fleet, 1, sockets)
     return {"hosts": len(names), "lost": lost, "back": back}
 
@@ -57,7 +57,7 @@
     """Return what the few readers of the store and of the host list spend."""
     board = fleet.board
     version = board.membership.version
-    names = (control_fleet.OWN, *fleet.names[:2])
+    names = (control_fleet.OWN_HOST, *fleet.names[:2])
     board.configuration.watchers = (version, names)
     watching = bench_control.measure_window(
         fleet, bench_control.WINDOW_SECONDS, sockets
--- a/benchmarks/bench_control.py
+++ b/benchmarks/bench_control.py
@@ -140,9 +140,9 @@
 def measure_window(fleet, seconds: float, sockets) -> dict:
     """Run for a time and return its figures."""
     gc.collect()
-    fleet.reset()
+    fleet.reset_costs()
     fleet.run(seconds)
-    return describe(fleet.reset(), seconds, sockets)
+    return describe(fleet.reset_costs(), seconds, sockets)
 
 
 def measure_memory(size: control_fleet.Size, seed: int) -> float:
@@ -248,7 +248,7 @@
     """Return what a start costs the node, and its first seconds afterwards."""
     before = read_resident_bytes()
     settled_at = fleet.start()
-    costs = fleet.reset()
+    costs = fleet.reset_costs()
     gc.collect()
     figures = {
         "seconds_until_all_placed": settled_at,
@@ -275,7 +275,7 @@
     figures["served"] = len(fleet.board.placement_state.served_endpoints)
     figures["watched"] = len(fleet.board.failover.detection_state.watches)
     axes = {axis: run_rates(fleet, axis, sockets) for axis in RATES}
-    sizes = [len(data) for _, data in fleet.packed.values()]
+    sizes = [len(data) for _, data in fleet.compressed.values()]
     figures["compressed_document_bytes"] = round(sum(sizes) / len(sizes))
     figures["part_bytes"] = dissemination.PART_BYTES
     return figures, axes
--- a/benchmarks/bench_failover.py
+++ b/benchmarks/bench_failover.py
@@ -85,10 +85,10 @@
         if fault != "partitioned" or fleet.places[host] != place
     ]
     start = fleet.now
-    fleet.load(hosts, WRITE_INTERVAL_SECONDS, start + LOAD_SECONDS)
+    fleet.start_load(hosts, WRITE_INTERVAL_SECONDS, start + LOAD_SECONDS)
     fleet.run(start + FAULT_AFTER_SECONDS)
     fleet.store.down = store_down
-    changes = len(fleet.promoted)
+    changes = len(fleet.promotions)
     if fault == "planned":
         start_change(fleet)
     else:
@@ -102,7 +102,7 @@
     return {
         "gap_majority_seconds": fleet.measure_gap("scan", start + 1.0, end),
         "gap_confirmed_seconds": fleet.measure_gap("label", start + 1.0, end),
-        "changes": len({term for _, term, _ in fleet.promoted[changes:]}),
+        "changes": len({term for _, term, _ in fleet.promotions[changes:]}),
         "acknowledged": sum(write.acknowledged for write in writes),
         "lost_majority": fleet.count_lost("scan"),
         "lost_confirmed": fleet.count_lost("label"),
@@ -141,12 +141,16 @@
     """Return the time that confirmation adds by level, in milliseconds."""
     fleet = failover_fleet.Fleet(seed=seed, delay=delay)
     fleet.run(WARM_SECONDS)
-    fleet.confirmed.clear()
-    fleet.load(list(fleet.nodes), WRITE_INTERVAL_SECONDS, fleet.now + 8.0)
+    fleet.confirmation_delays.clear()
+    fleet.start_load(list(fleet.nodes), WRITE_INTERVAL_SECONDS, fleet.now + 8.0)
     fleet.run(fleet.now + 10.0)
     figures = {}
     for level, name in (("log", "majority"), ("term", "confirmed")):
-        times = [1000 * seconds for found, seconds in fleet.confirmed if found == level]
+        times = [
+            1000 * seconds
+            for found, seconds in fleet.confirmation_delays
+            if found == level
+        ]
         cuts = statistics.quantiles(times, n=100)
         figures[name] = {"p50_ms": round(cuts[49], 1), "p99_ms": round(cuts[98], 1)}
     return figures
--- a/benchmarks/control_fleet.py
+++ b/benchmarks/control_fleet.py
@@ -29,7 +29,7 @@
 from hyssopshelf.scheduling import accounts, billing, queues, shares
 from hyssopshelf.statements import polling
 
-OWN = "own"
+OWN_HOST = "own"
 PLACES = 14
 REGIONS = 5
 POOL_DATABASES = 3
@@ -115,14 +115,14 @@
     they fit. If the node is the only host of its place, ``size.served`` databases have
     an endpoint in that place.
     """
-    ring = watchers.Ring([*names, OWN])
+    ring = watchers.Ring([*names, OWN_HOST])
     number = watched = 0
     databases: list[tuple[str, str]] = []
     while len(databases) < size.databases:
         pool = f"pool{len(databases) // POOL_DATABASES:04}"
         name = f"d{number}"
         number += 1
-        is_watched = OWN in ring.compute_order(f"{pool}/{name}")
+        is_watched = OWN_HOST in ring.compute_order(f"{pool}/{name}")
         if is_watched != (watched < size.watched):
             continue
         watched += is_watched
@@ -134,10 +134,10 @@
     return {pool: _make_document(pool, specs) for pool, specs in by_pool.items()}
 
 
-def _make_database(name: str, index: int, own: bool) -> resources.DatabaseSpec:
+def _make_database(name: str, index: int, at_own_place: bool) -> resources.DatabaseSpec:
     places = [f"p{(index + offset) % PLACES}" for offset in (0, 4, 9)]
-    if own:
-        places[0] = OWN
+    if at_own_place:
+        places[0] = OWN_HOST
     return resources.DatabaseSpec(
         name=name,
         endpoints=tuple(
@@ -152,7 +152,7 @@
 
 
 def _make_document(pool: str, databases: list) -> resources.Document:
-    even = dict.fromkeys(PARTNERS, 0.5)
+    equal = dict.fromkeys(PARTNERS, 0.5)
     kinds = tuple(
         resources.KindSpec(name=f"{rank}-work", rank=rank, staleness_seconds=5.0)
         for rank in RANKS
@@ -174,7 +174,7 @@
             (kind.RANK, name, resources.RankSpec(order=order, floor=0.1))
             for order, name in enumerate(RANKS)
         ),
-        (kind.SPLIT, pool, resources.SplitSpec(capacity=even, bill=even)),
+        (kind.SPLIT, pool, resources.SplitSpec(capacity=equal, bill=equal)),
     ]
     return resources.Document(
         pool=pool,
@@ -189,7 +189,7 @@
     )
 
 
-def pack(document: resources.Document) -> tuple[versions.Summary, bytes]:
+def compress(document: resources.Document) -> tuple[versions.Summary, bytes]:
     """Return the summary of a document and its compressed encoding."""
     text = declarations.encode_document(document)
     summary = versions.Summary(
@@ -217,12 +217,12 @@
         self.rows = make_rows(size.hosts)
         self.names = list(self.rows)
         self.documents = make_documents(size, self.names)
-        self.packed = {pool: pack(d) for pool, d in self.documents.items()}
-        self.pools = sorted(self.packed)
+        self.compressed = {pool: compress(d) for pool, d in self.documents.items()}
+        self.pools = sorted(self.compressed)
         identity = blackboard.Identity(
-            host=OWN,
+            host=OWN_HOST,
             address="10.99.0.1:7100",
-            place=OWN if size.alone else "p0",
+            place=OWN_HOST if size.alone else "p0",
             region="r0",
             incarnation=1,
         )
@@ -281,7 +281,7 @@
             )
         self.schedule(self.now, self._add_slot_time)
 
-    def reset(self) -> Costs:
+    def reset_costs(self) -> Costs:
         """Reset the counters and return their previous values."""
         costs, self.costs = self.costs, Costs()
         return costs
@@ -333,59 +333,59 @@
                 polling.store_status(self.board, name, status, self.now)
         self.schedule(self.now + 0.25, self._add_slot_time)
 
-    def choose_host(self) -> str:
+    def choose_peer(self) -> str:
         """Return a random peer."""
         return self.random.choice(self.names)
 
     def change_document(self, pool: str) -> None:
         """Create a new version of a pool's document and let a peer offer it."""
-        held = self.documents[pool]
+        previous = self.documents[pool]
         changed = attrs.evolve(
-            held,
-            version=held.version + 1,
-            change_ids=(*held.change_ids, f"change-{held.version + 1}")[-64:],
+            previous,
+            version=previous.version + 1,
+            change_ids=(*previous.change_ids, f"change-{previous.version + 1}")[-64:],
         )
         self.documents[pool] = changed
-        self.packed[pool] = pack(changed)
-        offer = dissemination.Offer(summaries=(self.packed[pool][0],), fresh=True)
-        self.deliver(self.choose_host(), offer)
+        self.compressed[pool] = compress(changed)
+        offer = dissemination.Offer(summaries=(self.compressed[pool][0],), fresh=True)
+        self.deliver(self.choose_peer(), offer)
 
-    def tell(self, rows: list[gossip.Row]) -> None:
+    def send_rows(self, rows: list[gossip.Row]) -> None:
         """Deliver each part of the rows to the node in messages of two random peers."""
         for start in range(0, len(rows), gossip.MAXIMUM_ROWS):
             part = tuple(rows[start : start + gossip.MAXIMUM_ROWS])
             for _ in range(2):
-                host = self.choose_host()
+                host = self.choose_peer()
                 message = protocol.News(sender=self.rows[host], rows=part)
                 delay = self.random.uniform(0.0, 1.0)
                 self.deliver(host, message, delay)
 
-    def fail(self, names: list[str]) -> None:
+    def fail_hosts(self, names: list[str]) -> None:
         """Crash hosts: peers report a suspicion, and 3 s later the death."""
-        self.tell([_make_short_row(self.rows[name], gossip.SUSPECT) for name in names])
+        self.send_rows([_trim_row(self.rows[name], gossip.SUSPECT) for name in names])
         self.schedule(self.now + 3.0, self._declare_dead, names)
 
     def _declare_dead(self, names: list[str]) -> None:
-        self.tell([_make_short_row(self.rows[name], gossip.DEAD) for name in names])
+        self.send_rows([_trim_row(self.rows[name], gossip.DEAD) for name in names])
 
-    def come_back(self, names: list[str]) -> None:
+    def rejoin_hosts(self, names: list[str]) -> None:
         """Start crashed hosts again with a higher incarnation."""
         for name in names:
             row = self.rows[name]
             self.rows[name] = (name, row[1] + 1, 0, gossip.ALIVE, *row[4:])
-        self.tell([self.rows[name] for name in names])
+        self.send_rows([self.rows[name] for name in names])
 
     def restart_host(self) -> None:
         """Drain a random host and start it again 10 s later."""
-        name = self.choose_host()
+        name = self.choose_peer()
         row = self.rows[name]
         self.rows[name] = (name, row[1], row[2] + 1, gossip.LEAVING, *row[4:])
-        self.tell([self.rows[name]])
+        self.send_rows([self.rows[name]])
         self.schedule(self.now + 4.0, self._declare_dead, [name])
-        self.schedule(self.now + 10.0, self.come_back, [name])
+        self.schedule(self.now + 10.0, self.rejoin_hosts, [name])
 
 
-def _make_short_row(row: gossip.Row, code: int) -> gossip.Row:
+def _trim_row(row: gossip.Row, code: int) -> gossip.Row:
     return (row[0], row[1], row[2], code, "", "", "", ())
 
 
@@ -449,7 +449,7 @@
             platform.Entry(
                 key=documents.key_of(pool), value=zlib.decompress(data), revision=1
             )
-            for pool, (_, data) in fleet.packed.items()
+            for pool, (_, data) in fleet.compressed.items()
         )
         return result.Ok(entries), STORE_SECONDS
     if isinstance(operation, platform.CompareAndSwap):
@@ -515,7 +515,7 @@
             digests=digests,
         )
         fleet.deliver(host, reply, PEER_SECONDS)
-    other = fleet.choose_host()
+    other = fleet.choose_peer()
     probe = protocol.ProbeHost(
         sequence=1, sender=fleet.rows[other], rows=message.rows, digests=digests
     )
@@ -524,7 +524,7 @@
 
 @answer.register
 def _(message: protocol.News, fleet: ControlFleet, host: str) -> None:
-    other = fleet.choose_host()
+    other = fleet.choose_peer()
     news = protocol.News(sender=fleet.rows[other], rows=message.rows)
     fleet.deliver(other, news, PEER_SECONDS)
 
@@ -537,7 +537,7 @@
     pools = fleet.pools[first : first + snapshots.PART_DOCUMENTS]
     entries = tuple(
         snapshots.SnapshotEntry(summary=summary, data=data)
-        for summary, data in map(fleet.packed.__getitem__, pools)
+        for summary, data in map(fleet.compressed.__getitem__, pools)
     )
     part = snapshots.SnapshotPart(
         after=message.after,
@@ -554,12 +554,12 @@
     if fleet.board.configuration_ready:
         root = fleet.board.configuration.table.root
         digest = dissemination.Digest(root=root)
-        fleet.deliver(fleet.choose_host(), digest, fleet.random.uniform(0.0, 0.5))
+        fleet.deliver(fleet.choose_peer(), digest, fleet.random.uniform(0.0, 0.5))
 
 
 @answer.register
 def _(message: dissemination.Offer, fleet: ControlFleet, host: str) -> None:
-    fleet.deliver(fleet.choose_host(), message, PEER_SECONDS)
+    fleet.deliver(fleet.choose_peer(), message, PEER_SECONDS)
     # A node pulls each document once, so on average one of its offers is answered.
     offers = dissemination.OFFERS_PER_ROUND * dissemination.OFFER_ROUNDS
     for summary in message.summaries:
@@ -570,7 +570,7 @@
 
 @answer.register
 def _(message: dissemination.PullRequest, fleet: ControlFleet, host: str) -> None:
-    summary, data = fleet.packed[message.pool]
+    summary, data = fleet.compressed[message.pool]
     part = dissemination.Part(
         summary=summary, offset=message.offset, total=len(data), data=data
     )
--- a/benchmarks/failover_fleet.py
+++ b/benchmarks/failover_fleet.py
@@ -135,22 +135,22 @@
         self.random = random.Random(seed)
         self.store = Store()
         self.queue: list = []
-        self.order = itertools.count()
-        self.cut: set[frozenset[str]] = set()
+        self.sequence = itertools.count()
+        self.cut_links: set[frozenset[str]] = set()
         self.down: set[str] = set()
         self.paused: dict[str, float] = {}
         self.places: dict[str, str] = {}
         self.connections: dict[str, tuple[str, str]] = {}
         self.writes: dict[str, Write] = {}
         self.logs: list[tuple[float, str, str, dict]] = []
-        self.promoted: list[tuple[float, int, str]] = []
-        self.waiting: dict[str, dict] = collections.defaultdict(dict)
-        self.confirmed: list[tuple[str, float]] = []
+        self.promotions: list[tuple[float, int, str]] = []
+        self.waiting_tickets: dict[str, dict] = collections.defaultdict(dict)
+        self.confirmation_delays: list[tuple[str, float]] = []
         self.instances = {}
         for name, place in zip("abc", PLACES, strict=True):
-            full = f"{DATABASE}/{name}"
-            self.instances[full] = database.Instance(name=full)
-            self.places[full] = place
+            full_name = f"{DATABASE}/{name}"
+            self.instances[full_name] = database.Instance(name=full_name)
+            self.places[full_name] = place
         self.nodes = {}
         for place, number in itertools.product(PLACES, range(hosts_by_place)):
             host = f"{place}-{number}"
@@ -171,7 +171,7 @@
         for host in self.nodes:
             self._schedule_tick(host, self.random.random() * node.TICK_SECONDS)
         for name in self.instances:
-            self._at(self.random.random() * 0.01, lambda n=name: self._fetch(n))
+            self._run_after(self.random.random() * 0.01, lambda n=name: self._fetch(n))
 
     # Clock and network.
 
@@ -182,13 +182,13 @@
             call()
         self.now = until
 
-    def at(self, time: float, call) -> None:
+    def schedule(self, time: float, call) -> None:
         """Schedule a call at a time of the virtual clock."""
-        heapq.heappush(self.queue, (time, next(self.order), call))
+        heapq.heappush(self.queue, (time, next(self.sequence), call))
 
     def isolate(self, name: str, others) -> None:
         """Drop all later messages between one member and others."""
-        self.cut |= {frozenset((name, other)) for other in others}
+        self.cut_links |= {frozenset((name, other)) for other in others}
 
     def pause(self, name: str, seconds: float) -> None:
         """Pause a member; messages that arrive meanwhile wait until it resumes."""
@@ -204,26 +204,26 @@
                 event = base.ConnectionClosed(connection=connection)
                 self._deliver(name, host, event)
 
-    def _at(self, delay: float, call) -> None:
-        self.at(self.now + delay, call)
+    def _run_after(self, delay: float, call) -> None:
+        self.schedule(self.now + delay, call)
 
     def _compute_delay(self, one: str, other: str) -> float:
         same = self.places[one] == self.places[other]
         return LOCAL_DELAY_SECONDS if same else self.delay
 
-    def _send(self, source: str, target: str, call, lost=None) -> None:
-        """Call ``call`` at the target after the delay, or ``lost`` if partitioned."""
+    def _send(self, source: str, target: str, call, on_lost=None) -> None:
+        """Call ``call`` at the target after the delay; ``on_lost`` if partitioned."""
 
         def arrive():
-            if frozenset((source, target)) in self.cut:
-                if lost is not None:
-                    lost()
+            if frozenset((source, target)) in self.cut_links:
+                if on_lost is not None:
+                    on_lost()
             elif self.paused.get(target, 0.0) > self.now:
-                self.at(self.paused[target], arrive)
+                self.schedule(self.paused[target], arrive)
             else:
                 call()
 
-        self._at(self._compute_delay(source, target), arrive)
+        self._run_after(self._compute_delay(source, target), arrive)
 
     def _deliver(self, source: str, host: str, event) -> None:
         self._send(source, host, lambda: self.handle(host, event))
@@ -233,12 +233,12 @@
     def _schedule_tick(self, host: str, delay: float) -> None:
         def tick():
             if self.paused.get(host, 0.0) > self.now:
-                self.at(self.paused[host], tick)
+                self.schedule(self.paused[host], tick)
                 return
             self.handle(host, base.Ticked())
-            self._at(node.TICK_SECONDS, tick)
+            self._run_after(node.TICK_SECONDS, tick)
 
-        self._at(delay, tick)
+        self._run_after(delay, tick)
 
     def handle(self, host: str, event) -> None:
         """Let a node handle an event, then carry out the actions it returns."""
@@ -246,12 +246,12 @@
             return
         for action in self.nodes[host].handle(event, self.now):
             self._carry_out(host, action)
-        self._note_confirmations(host)
+        self._record_confirmations(host)
 
     def _carry_out(self, host: str, action) -> None:
         match action:
             case base.Reply():
-                self._note_answer(action)
+                self._record_answer(action)
             case base.SendPeer():
                 event = base.PeerReceived(host=host, message=action.message)
                 self._deliver(host, action.host, event)
@@ -262,7 +262,7 @@
             case base.Execute():
                 self._execute(host, action)
             case base.ProbeStatus():
-                self._ask(
+                self._call_endpoint(
                     host,
                     action.endpoint,
                     lambda instance: instance.report_status(self.now),
@@ -273,10 +273,10 @@
                     ),
                 )
             case base.CallControl():
-                self._ask(
+                self._call_endpoint(
                     host,
                     action.endpoint,
-                    lambda instance: self._control(instance, action.operation),
+                    lambda instance: self._run_control(instance, action.operation),
                     lambda answer: base.ControlAnswered(
                         endpoint=action.endpoint,
                         call_id=action.call_id,
@@ -296,15 +296,17 @@
             event = base.StoreAnswered(call_id=action.call_id, result=result)
             self.handle(host, event)
 
-        self._at(CONNECT_TIMEOUT_SECONDS if self.store.down else STORE_SECONDS, answer)
+        self._run_after(
+            CONNECT_TIMEOUT_SECONDS if self.store.down else STORE_SECONDS, answer
+        )
 
     # Endpoints.
 
-    def _ask(self, host: str, endpoint: str, work, build_event) -> None:
+    def _call_endpoint(self, host: str, endpoint: str, work, build_event) -> None:
         """Call ``work`` at an endpoint; without an answer its result is None."""
 
         def fail(delay=PROBE_TIMEOUT_SECONDS):
-            self._at(delay, lambda: self.handle(host, build_event(None)))
+            self._run_after(delay, lambda: self.handle(host, build_event(None)))
 
         def arrive():
             if endpoint in self.down:
@@ -315,14 +317,14 @@
 
         self._send(host, endpoint, arrive, fail)
 
-    def _control(self, instance, operation):
+    def _run_control(self, instance, operation):
         match operation:
             case messages.Fence():
                 return instance.fence(operation, self.now)
             case messages.Promote():
                 answer = instance.promote(operation, self.now)
                 if answer.granted:
-                    self.promoted.append((self.now, operation.term, instance.name))
+                    self.promotions.append((self.now, operation.term, instance.name))
                 return answer
             case messages.Follow():
                 return instance.follow(operation, self.now)
@@ -335,7 +337,7 @@
             event = base.ConnectionFailed(
                 connection=connection, refused=refused, reason=reason
             )
-            self._at(CONNECT_TIMEOUT_SECONDS, lambda: self.handle(host, event))
+            self._run_after(CONNECT_TIMEOUT_SECONDS, lambda: self.handle(host, event))
 
         def arrive():
             if endpoint in self.down:
@@ -363,13 +365,13 @@
         instance = self.instances[endpoint]
 
         def arrive():
-            self._at(STATEMENT_SECONDS, finish)
+            self._run_after(STATEMENT_SECONDS, finish)
 
         def finish():
             if endpoint in self.down or action.connection not in instance.connections:
                 return
             if self.paused.get(endpoint, 0.0) > self.now:
-                self.at(self.paused[endpoint], finish)
+                self.schedule(self.paused[endpoint], finish)
                 return
             answer = instance.execute(action.connection, action.request, self.now)
             event = base.EndpointAnswered(
@@ -388,14 +390,14 @@
         request = None if name in self.down else instance.request_fetch(self.now)
         primary = instance.primary
         if request is None or primary not in self.instances:
-            self._at(FETCH_SECONDS, lambda: self._fetch(name))
+            self._run_after(FETCH_SECONDS, lambda: self._fetch(name))
             return
         ended = []
 
         def end():
             if not ended:
                 ended.append(True)
-                self._at(FETCH_SECONDS, lambda: self._fetch(name))
+                self._run_after(FETCH_SECONDS, lambda: self._fetch(name))
 
         def serve():
             if primary not in self.down:
@@ -408,9 +410,7 @@
             end()
 
         self._send(name, primary, serve)
-        self._at(0.2, end)
-
-    # Load.
+        self._run_after(0.2, end)
 
     def write(self, host: str, kind: str) -> None:
         """Send one write to a node and record it."""
@@ -429,7 +429,7 @@
         )
         self.handle(host, base.StatementReceived(caller=value, statement=statement))
 
-    def load(self, hosts: list[str], interval: float, until: float) -> None:
+    def start_load(self, hosts: list[str], interval: float, until: float) -> None:
         """Write every ``interval`` seconds, alternating kinds of work and hosts."""
 
         def send(number):
@@ -438,27 +438,27 @@
             host = hosts[(number // 2) % len(hosts)]
             kind = "scan" if number % 2 else "label"
             self.write(host, kind)
-            self._at(interval, lambda: send(number + 1))
+            self._run_after(interval, lambda: send(number + 1))
 
         send(0)
 
-    def _note_answer(self, action) -> None:
+    def _record_answer(self, action) -> None:
         write = self.writes[action.caller]
         write.answer = action.answer
         write.answered_at = self.now
         if action.answer.error is None:
             seen = tokens.verify(action.answer.token, KEYS).get(DATABASE)
             write.term = seen.term if seen is not None else 0
-            newest = max((term for _, term, _ in self.promoted), default=0)
+            newest = max((term for _, term, _ in self.promotions), default=0)
             write.replaced = write.term < newest
 
-    def _note_confirmations(self, host: str) -> None:
+    def _record_confirmations(self, host: str) -> None:
         """Record how long each write waits for confirmation before its release."""
         board = self.nodes[host].board
-        waiting = self.waiting[host]
+        waiting = self.waiting_tickets[host]
         for ticket_id in [name for name in waiting if name not in board.tickets]:
             level, filed_at = waiting.pop(ticket_id)
-            self.confirmed.append((level, self.now - filed_at))
+            self.confirmation_delays.append((level, self.now - filed_at))
         for ticket in board.tickets.values():
             waiting.setdefault(ticket.id, (ticket.level.value, ticket.filed_at))
 
@@ -488,11 +488,11 @@
     def count_lost(self, kind: str) -> int:
         """Return how many acknowledged writes the current primary's value lacks."""
         primary = self.find_primary()
-        held = set()
+        stored = set()
         if primary:
             value = self.instances[primary].read_value("orders") or ""
-            held = set(value.split(","))
+            stored = set(value.split(","))
         return sum(
-            write.acknowledged and write.kind == kind and write.value not in held
+            write.acknowledged and write.kind == kind and write.value not in stored
             for write in self.writes.values()
         )
--- a/benchmarks/socket_costs.py
+++ b/benchmarks/socket_costs.py
@@ -22,7 +22,7 @@
 from hyssopshelf.runtime import endpoints, peers, wire
 
 PACE_SECONDS = 0.002
-COUNT = 200
+CALLS_PER_ROUND = 200
 ROUNDS = 3
 """The fastest round is reported, because other load on the machine adds time."""
 
@@ -57,7 +57,7 @@
 
 
 async def _measure() -> SocketCosts:
-    tick = await _pace(lambda: None, time.process_time)
+    tick = await _measure_paced(lambda: None, time.process_time)
     message = await _measure_messages()
     probe = await _measure_probes()
     return SocketCosts(
@@ -67,25 +67,25 @@
     )
 
 
-async def _pace(function, clock) -> float:
+async def _measure_paced(operation, clock) -> float:
     """Call a function at a fixed pace and return the lowest mean cost of a call."""
-    return min([await _run_round(function, clock) for _ in range(ROUNDS)])
+    return min([await _run_round(operation, clock) for _ in range(ROUNDS)])
 
 
-async def _run_round(function, clock) -> float:
-    timer = tornado.ioloop.PeriodicCallback(function, PACE_SECONDS * 1000)
+async def _run_round(operation, clock) -> float:
+    timer = tornado.ioloop.PeriodicCallback(operation, PACE_SECONDS * 1000)
     await asyncio.sleep(0.05)
     calls = 0
 
     def call() -> None:
         nonlocal calls
         calls += 1
-        function()
+        operation()
 
     timer.callback = call
     started = clock()
     timer.start()
-    while calls < COUNT:
+    while calls < CALLS_PER_ROUND:
         await asyncio.sleep(0.05)
     timer.stop()
     await asyncio.sleep(0.05)
@@ -112,12 +112,14 @@
     dialer.open()
     data = bytes(MESSAGE_BYTES)
     dialer.send("h", None, data)
-    cost = await _pace(lambda: dialer.send("h", None, data), time.process_time)
+    cost = await _measure_paced(lambda: dialer.send("h", None, data), time.process_time)
     loop.remove_reader(inbox.recv_fd)
     dialer.close()
     inbox.close()
-    if received < COUNT * ROUNDS:
-        raise RuntimeError(f"only {received} of {COUNT * ROUNDS} messages arrived")
+    if received < CALLS_PER_ROUND * ROUNDS:
+        raise RuntimeError(
+            f"only {received} of {CALLS_PER_ROUND * ROUNDS} messages arrived"
+        )
     return cost
 
 
@@ -145,12 +147,14 @@
         emit=answers.append, find_address=lambda endpoint: f"127.0.0.1:{port}"
     )
     adapter.probe(ENDPOINT, "first")
-    cost = await _pace(lambda: adapter.probe(ENDPOINT, "own.1.1234"), time.thread_time)
+    cost = await _measure_paced(
+        lambda: adapter.probe(ENDPOINT, "own.1.1234"), time.thread_time
+    )
     adapter.close()
     stop.set()
     thread.join()
     answered = sum(event.status is not None for event in answers)
-    if answered < COUNT // 2:
+    if answered < CALLS_PER_ROUND // 2:
         raise RuntimeError(f"only {answered} probes were answered")
     return cost
 
