--- a/benchmarks/bench_bad_hours.py
+++ b/benchmarks/bench_bad_hours.py
@@ -1,9 +1,9 @@
-"""What one node spends on control in the bad hours of the target size.
+"""Measures the control cost of one node at the target size in exceptional hours.
 
-The start of a node, a snapshot that it gives to another one, the work of a store
-watcher with the store up and down, the loss of a failure domain and of a region. Run
-it with ``python -m benchmarks.bench_bad_hours --seed N --json``; bench_control gives
-the ordinary day.
+Covers the start of a node, a snapshot that it serves to a starting node, the work of
+a store watcher with the store up and down, and the loss of a failure domain and of a
+region. Run it with ``python -m benchmarks.bench_bad_hours --seed N --json``;
+bench_control measures an ordinary day.
 """
 
 import gc
@@ -16,13 +16,13 @@
 
 
 def measure(fleet, windows: int, sockets) -> dict:
-    """Measure some windows of the length that bench_control uses."""
+    """Measure a number of consecutive windows of ``bench_control.WINDOW_SECONDS``."""
     seconds = windows * bench_control.WINDOW_SECONDS
     return bench_control.measure_window(fleet, seconds, sockets)
 
 
 def serve_snapshot(fleet) -> dict:
-    """Return what it costs to give the whole snapshot to a starting node."""
+    """Return the cost of serving the whole snapshot to a starting node."""
     fleet.reset_costs()
     asker, after = fleet.names[0], ""
     while True:
@@ -41,9 +41,9 @@
 
 
 def run_outage(fleet, regions: bool, sockets) -> dict:
-    """Let a failure domain or a region fail and come back."""
+    """Measure the loss and the return of a failure domain or of a region."""
     index = 6 if regions else 5
-    # A place and a region that the node itself is not in.
+    # The second host is in neither the place nor the region of the node.
     column = fleet.rows[fleet.names[1]][index]
     names = [name for name in fleet.names if fleet.rows[name][index] == column]
     fleet.fail_hosts(names)
@@ -54,7 +54,7 @@
 
 
 def run_reader(fleet, sockets) -> dict:
-    """Return what the few readers of the store and of the host list spend."""
+    """Return the cost of the nodes that read the store and the host list."""
     board = fleet.board
     version = board.membership.version
     names = (control_fleet.OWN_HOST, *fleet.names[:2])
@@ -80,7 +80,7 @@
 
 
 def measure_host_list(fleet) -> float:
-    """Return the processor time of one host list, in milliseconds."""
+    """Return the processor time to decode and handle a host list, in milliseconds."""
     rows = [
         {"name": row[0], "address": row[4], "place": row[5], "region": row[6]}
         for row in fleet.rows.values()
@@ -95,7 +95,7 @@
 
 
 def run(seed: int) -> dict:
-    """Run all bad hours on one node."""
+    """Run all exceptional cases on one node."""
     began = time.perf_counter()
     sockets = socket_costs.measure()
     fleet = control_fleet.ControlFleet(size=bench_control.TARGET, seed=seed)
--- a/benchmarks/bench_config.py
+++ b/benchmarks/bench_config.py
@@ -1,4 +1,4 @@
-"""Time from accepted to in force, and store calls, as the fleet grows.
+"""Measures the time until an accepted change is in force, and store calls, by size.
 
 Real configuration controllers run in one process on a virtual clock over a
 simulated network (0.5 ms within a place, 12 ms between places) and a store
@@ -26,7 +26,7 @@
 CUT_SECONDS = 60.0
 IDLE_SECONDS = 5.0
 COARSE_TICK_SECONDS = 0.5
-"""Tick while a node is cut off; nothing there depends on a tick of 50 ms."""
+"""Tick while a node is isolated; nothing there depends on a tick of 50 ms."""
 
 STORE_SLOW_SECONDS = 1.5
 POLL_SECONDS = 1.0
@@ -35,7 +35,7 @@
 
 
 def start_fleet(size: int, seed: int) -> tuple[fleet.Fleet, dict]:
-    """Return a fleet with one pool in force, and the figures of its start."""
+    """Return a fleet with one pool in force, and the measurements of its start."""
     nodes = fleet.Fleet(size=size, seed=seed, encode=False)
     ready = nodes.run(30, nodes.ready)
     figures = {
@@ -51,7 +51,7 @@
 
 
 def wait_in_force(nodes: fleet.Fleet, version: int, cut: tuple = ()) -> bool:
-    """Run until a version is in force on all live nodes but the cut ones."""
+    """Run at most 15 s until all live, connected nodes have a version in force."""
     expected = {
         (host, member.board.identity.incarnation)
         for host, member in nodes.members.items()
@@ -62,7 +62,7 @@
 
 
 def change_split(nodes: fleet.Fleet, version: int, share: float) -> str:
-    """Change the split through the accepting node."""
+    """Request a change of the split at the accepting node."""
     held = next(i for i in DECLARED if i.kind is resources.ResourceKind.SPLIT)
     shares = {"priehradka": share, "steyrtal": 1 - share}
     split = attrs.evolve(held, spec=resources.SplitSpec(capacity=shares, bill=shares))
@@ -77,11 +77,11 @@
 
 
 def measure(nodes: fleet.Fleet, version: int, after_commit=None, cut=()) -> dict:
-    """Make a change and return its figures.
+    """Make a change and return its measurements.
 
-    ``after_commit`` is called when the store holds the change. ``seconds``
-    counts from that moment. ``seconds_from_first_node`` counts from the moment
-    at which the first node learns of the commit, half the store's delay later.
+    ``after_commit`` is called when the store holds the change, which is also the
+    start of ``seconds``. ``seconds_from_first_node`` starts when the first node
+    learns of the commit, half the store's delay later.
     """
     calls = sum(nodes.store.calls.values())
     key = documents.key_of(POOL)
@@ -103,14 +103,14 @@
 
 
 def stop_store(nodes: fleet.Fleet) -> None:
-    """Stop the store as soon as the accepting node has the answer."""
+    """Stop the store once the accepting node has the new version."""
     newest = max(nodes.versions(POOL).values())
     nodes.run(1, lambda: nodes.versions(POOL)[ACCEPTING] > newest)
     nodes.store.down = True
 
 
 def run_faults(nodes: fleet.Fleet) -> dict:
-    """Return the figures of one change under each fault."""
+    """Measure one change under each fault."""
     found = {"no_fault": measure(nodes, 2)}
     nodes.store.delay_seconds = STORE_SLOW_SECONDS
     found["store_slow"] = measure(nodes, 3)
@@ -131,7 +131,7 @@
 
 
 def run_coarsely(nodes: fleet.Fleet, seconds: float) -> None:
-    """Run for a time in which nothing is measured, with fewer ticks."""
+    """Run with longer ticks for a time in which nothing is measured."""
     nodes.tick_seconds = COARSE_TICK_SECONDS
     nodes.run(seconds - COARSE_TICK_SECONDS)
     nodes.tick_seconds = fleet.TICK_SECONDS
@@ -139,7 +139,7 @@
 
 
 def run_cut(nodes: fleet.Fleet) -> dict:
-    """Cut one node off for a minute, change the split, connect it again."""
+    """Isolate a node, change the split, and reconnect the node after a minute."""
     nodes.members[CUT].cut = True
     figures = measure(nodes, 7, cut=(CUT,))
     run_coarsely(nodes, CUT_SECONDS)
@@ -155,9 +155,9 @@
 
 
 def measure_bytes(nodes: fleet.Fleet, version: int) -> dict:
-    """Return bytes a second a node and store calls a second of the fleet.
+    """Return bytes per second and node, and store calls per second of the fleet.
 
-    Bytes sent and received are counted, without the headers of TCP.
+    Bytes sent and received are counted without TCP headers.
     """
     nodes.encode = True
     nodes.bytes.clear()
@@ -184,10 +184,10 @@
 
 
 def run_baseline(size: int, seed: int) -> dict:
-    """Return the figures of nodes that each poll the store once a second.
+    """Return the results of a baseline in which each node polls the store each second.
 
-    A node reads at a random phase and the answer takes the store's delay. One
-    change is in force everywhere after the last node's read.
+    A node reads at a random phase and the answer takes the store's delay. A change
+    is in force everywhere after the last node's read.
     """
     source = random.Random(seed)
     waits = [source.uniform(0, POLL_SECONDS) for _ in range(size)]
@@ -200,7 +200,7 @@
 
 
 def run_size(size: int, seed: int) -> dict:
-    """Return all figures for one number of nodes."""
+    """Run all measurements for one number of nodes."""
     began = time.perf_counter()
     nodes, start = start_fleet(size, seed)
     faults = run_faults(nodes)
@@ -215,7 +215,7 @@
 
 
 def find_worst(by_size: dict, field: str) -> float:
-    """Return the longest time of any change, infinite if one did not arrive."""
+    """Return the longest time of a change, infinite if one is not in force."""
     return max(
         change[field] if change["in_force_everywhere"] else float("inf")
         for figures in by_size.values()
@@ -224,7 +224,7 @@
 
 
 def summarize(by_size: dict) -> dict:
-    """Compare the figures with the goals."""
+    """Compare the measurements with the goals."""
     worst = {
         field: find_worst(by_size, field)
         for field in ("seconds", "seconds_from_first_node")
--- a/benchmarks/bench_control.py
+++ b/benchmarks/bench_control.py
@@ -1,15 +1,15 @@
-"""What one node spends on control, and how that grows.
+"""Measures what one node spends on control, and how that grows with the fleet.
 
-One real node runs on a virtual clock among light peers. Each axis grows with
-the others fixed; a line is fitted and extrapolated to the target size. Since
+One real node runs on a virtual clock among simulated peers. Each axis grows while
+the others stay fixed; a line is fitted and extrapolated to the target size. Since
 only one node is real, the target size is also measured directly.
 
 Processor time is that of ``node.handle`` and of the codec, measured by
-time.process_time, plus the sockets: a count of messages, status calls and
-ticks times the loopback cost of each. Bytes are those of encoded messages;
-headers of TCP and IP are estimated. Memory on an axis is what tracemalloc
-counts from the start of the node to its steady state; at the target size it is
-the growth of the resident set.
+time.process_time, plus that of the sockets: the number of messages, status calls
+and ticks times the loopback cost of each. Bytes are those of encoded messages; TCP
+and IP headers are estimated. Memory on an axis is what tracemalloc counts from the
+start of the node to its steady state; at the target size it is the growth of the
+resident set.
 """
 
 import gc
@@ -36,7 +36,7 @@
     "changes_a_day": 13_000,
     "restarts_a_day": 4_117,
 }
-"""4,100 hosts a day are restarted and 17 fail."""
+"""Each day 4,100 hosts are restarted and 17 fail."""
 
 POINTS = {
     "hosts": (200, 800, 2000, 5100),
@@ -45,20 +45,20 @@
     "watched": (0, 5, 20, 40),
 }
 MEMORY_POINTS = POINTS | {"databases": (150, 400, 800, 1600)}
-"""tracemalloc makes a start several times slower; the resident set is measured
-at the target size itself."""
+"""Smaller sizes, because tracemalloc makes a start several times slower. At the
+target size the resident set is measured instead."""
 
 RATES = {
     "changes_a_day": (0, 13_000, 52_000, 208_000),
     "restarts_a_day": (0, 4_117, 16_468, 65_872),
 }
-"""Rates above the target are measured because few events fall into a window."""
+"""Rates go beyond the target because few events fall into one window there."""
 
 WINDOW_SECONDS = 30.0
-"""Longest period of a control step: the review of all placements."""
+"""Longest period of a control task, the review of all placements."""
 
 PACKET_BYTES = 100
-"""TCP and IP headers of a message and of its acknowledgement, estimated."""
+"""Estimated TCP and IP headers of a message and its acknowledgement."""
 
 BUDGET = {"processor_percent": 1.0, "memory_mb": 32.0, "bytes_a_second": 5000}
 DAY_SECONDS = 86_400
@@ -74,15 +74,16 @@
 
 
 def read_resident_bytes() -> int:
-    """Return the resident size of this process."""
+    """Return the resident set size of this process in bytes."""
     pages = pathlib.Path("/proc/self/statm").read_text().split()[1]
     return int(pages) * os.sysconf("SC_PAGE_SIZE")
 
 
 def measure_reference() -> float:
-    """Return the processor time of a fixed computation.
+    """Return the processor time of a fixed computation in seconds.
 
-    The machine is shared; runs whose reference differs cannot be compared.
+    Other load on the machine changes it; runs whose reference differs cannot be
+    compared.
     """
     best = float("inf")
     for _ in range(5):
@@ -96,7 +97,7 @@
 def describe(
     costs: control_fleet.Costs, seconds: float, sockets: socket_costs.SocketCosts
 ) -> dict:
-    """Return the figures of a window."""
+    """Return the rates of a window of ``seconds``."""
     count = costs.sent + costs.received
     socket_seconds = (
         count * sockets.message
@@ -125,10 +126,10 @@
 
 
 def skip_learning(fleet: control_fleet.ControlFleet) -> None:
-    """Go to the steady state that follows the first minutes after a start.
+    """Put the node into the steady state that it reaches minutes after a start.
 
-    All primaries are known, and no row of the hosts that were learned at the
-    start is left to be sent.
+    All primaries are known, and the rows of hosts learned at the start are no longer
+    queued for gossip.
     """
     board = fleet.board
     for record in board.databases.values():
@@ -138,7 +139,7 @@
 
 
 def measure_window(fleet, seconds: float, sockets) -> dict:
-    """Run for a time and return its figures."""
+    """Run for a number of seconds and return the rates of that window."""
     gc.collect()
     fleet.reset_costs()
     fleet.run(seconds)
@@ -146,7 +147,7 @@
 
 
 def measure_memory(size: control_fleet.Size, seed: int) -> float:
-    """Return what tracemalloc counts for a node of a size, in MB."""
+    """Return the traced memory of a node in the steady state, in MB."""
     fleet = control_fleet.ControlFleet(size=size, seed=seed)
     control_fleet.clear_caches()
     gc.collect()
@@ -162,7 +163,7 @@
 
 
 def measure_point(size: control_fleet.Size, seed: int, sockets) -> dict:
-    """Return the steady figures of one size."""
+    """Return the rates of one size in the steady state."""
     fleet = control_fleet.ControlFleet(size=size, seed=seed)
     fleet.start()
     skip_learning(fleet)
@@ -175,7 +176,7 @@
 
 
 def run_axis(axis: str, seed: int, sockets) -> dict:
-    """Measure the points of an axis with all else fixed."""
+    """Measure the points of an axis with the other sizes fixed."""
     points = []
     for value in POINTS[axis]:
         size = attrs.evolve(SMALL, **{axis: value})
@@ -188,7 +189,7 @@
 
 
 def run_memory_axis(axis: str, seed: int) -> dict:
-    """Measure the memory of the points of an axis with all else fixed."""
+    """Measure memory at the points of an axis with the other sizes fixed."""
     points = []
     for value in MEMORY_POINTS[axis]:
         size = attrs.evolve(SMALL, **{axis: value})
@@ -226,16 +227,16 @@
         count = schedule_events(fleet, axis, rate)
         figures = measure_window(fleet, WINDOW_SECONDS, sockets)
         figures["memory_mb"] = round((read_resident_bytes() - before) / 1e6, 3)
-        # The rate that the window really had; it holds a whole number of events.
+        # The actual rate, because a window holds a whole number of events.
         points.append({axis: count * DAY_SECONDS / WINDOW_SECONDS} | figures)
     return {"fixed": attrs.asdict(TARGET), "points": points, "fits": fit(axis, points)}
 
 
 def schedule_events(fleet, axis: str, rate: float) -> int:
-    """Spread the events of a rate over the next window; return their number."""
+    """Schedule the events of the next window at a daily rate; return their number."""
     count = round(rate * WINDOW_SECONDS / DAY_SECONDS)
     for index in range(count):
-        # The last events start early enough to end within the window.
+        # The last events start early enough to finish within the window.
         at = fleet.now + 0.5 + index * (WINDOW_SECONDS - 15.0) / max(1, count)
         if axis == "changes_a_day":
             fleet.schedule(at, fleet.change_document, fleet.random.choice(fleet.pools))
@@ -245,7 +246,7 @@
 
 
 def run_start(fleet, sockets) -> dict:
-    """Return what a start costs the node, and its first seconds afterwards."""
+    """Return the cost of a start and of the first window after it."""
     before = read_resident_bytes()
     settled_at = fleet.start()
     costs = fleet.reset_costs()
@@ -264,7 +265,7 @@
 
 
 def run_target(seed: int, sockets) -> tuple[dict, dict]:
-    """Measure the target size directly; return its figures and the rate axes."""
+    """Measure the target size directly; return its results and the rate axes."""
     fleet = control_fleet.ControlFleet(size=TARGET, seed=seed)
     control_fleet.clear_caches()
     gc.collect()
@@ -282,13 +283,13 @@
 
 
 def add_up(steady: dict, axes: dict) -> dict:
-    """Return the ordinary day at the target size: steady state, changes, restarts."""
+    """Add the steady state, changes and restarts of a day at the target size."""
     total = {}
     for metric in METRICS[:-1]:
         total[metric] = steady[metric] + sum(
             axes[axis]["fits"][metric]["slope"] * TARGETS[axis] for axis in RATES
         )
-    # TCP carries both directions, and status calls are control as well.
+    # The budget covers both directions and the status calls.
     total["bytes_a_second"] = (
         total["sent_bytes_a_second"]
         + total["received_bytes_a_second"]
--- a/benchmarks/bench_control_memory.py
+++ b/benchmarks/bench_control_memory.py
@@ -1,7 +1,7 @@
-"""Memory that one node spends on control, with the fitted slopes.
+"""Measures the memory that one node spends on control, with fitted slopes.
 
 Run it with ``python -m benchmarks.bench_control_memory --seed N --json``;
-bench_control gives processor time, messages and store calls.
+bench_control measures processor time, messages and store calls.
 """
 
 import time
--- a/benchmarks/bench_failover.py
+++ b/benchmarks/bench_failover.py
@@ -1,9 +1,9 @@
-"""Write gap of a change of primary, lost writes and cost of acknowledgement.
+"""Measures write gaps and lost writes of failovers, and the acknowledgement cost.
 
-Real nodes run on a virtual clock against pure instances, so the seconds are
-exact for the modelled delays and do not depend on the machine. The baseline
-replaces a primary only after its store lease of 10 s has lapsed, and not at all
-while the store is down.
+Real nodes run on a virtual clock against simulated instances, so times are exact for
+the modelled delays and do not depend on the machine. The baseline replaces a primary
+only after its store lease of 10 s has expired, and not at all while the store is
+down.
 """
 
 import contextlib
@@ -52,7 +52,7 @@
 
 
 def kill_promoter(fleet, limit: float) -> None:
-    """Wait for a promoter that has fenced a majority, and kill it."""
+    """Kill the first node that has fenced a majority for a promotion."""
     first = len(fleet.logs)
     while fleet.now < limit:
         fleet.run(fleet.now + 0.01)
@@ -63,7 +63,7 @@
 
 
 def start_change(fleet) -> None:
-    """Ask a random node for a planned change of primary."""
+    """Request a planned change of primary at a random node."""
     primary = fleet.find_primary()
     targets = [name for name in fleet.instances if name != primary]
     board = fleet.nodes[fleet.random.choice(list(fleet.nodes))].board
@@ -74,11 +74,11 @@
 def run_fault(
     fault: str, seed: int, *, store_down: bool = False, lease: bool = False
 ) -> dict:
-    """Run one fault under a steady load and return its figures."""
+    """Run one fault under a steady write load; return gaps and counts of writes."""
     fleet = failover_fleet.Fleet(seed=seed, delay=REGION_DELAY_SECONDS)
     fleet.run(WARM_SECONDS + fleet.random.random())
     place = fleet.places[fleet.find_primary()]
-    # Callers behind a partition cannot be served, so they are not counted.
+    # Clients on the minority side cannot be served, so they send no writes.
     hosts = [
         host
         for host in fleet.nodes
@@ -113,7 +113,7 @@
 
 @contextlib.contextmanager
 def wait_for_lease(seed: int):
-    """Make promotions wait for the rest of a lease, as the baseline does."""
+    """Make promotions wait for the rest of a lease, as in the baseline."""
     lost, hold = observations.LOST_SECONDS, promotion.HOLD_SECONDS
     renewed_before = random.Random(seed).uniform(0.0, LEASE_SECONDS / 3)
     observations.LOST_SECONDS = LEASE_SECONDS - renewed_before
@@ -125,7 +125,7 @@
 
 
 def summarise(runs: list[dict]) -> dict:
-    """Return the worst gaps and the sums of the counts."""
+    """Return the longest gaps and the sums of the counts."""
     summary = {key: sum(run[key] for run in runs) for key in runs[0]}
     for key in GAPS:
         summary[key] = round(max(run[key] for run in runs), 3)
@@ -133,12 +133,12 @@
 
 
 def find_worst_gap(case: dict) -> float:
-    """Return the longer gap of both levels."""
+    """Return the longer gap of the two acknowledgement levels, in seconds."""
     return max(case[key] for key in GAPS)
 
 
 def measure_acknowledgement(delay: float, seed: int) -> dict:
-    """Return the time that confirmation adds by level, in milliseconds."""
+    """Return the time that confirmation adds, by level, in milliseconds."""
     fleet = failover_fleet.Fleet(seed=seed, delay=delay)
     fleet.run(WARM_SECONDS)
     fleet.confirmation_delays.clear()
--- a/benchmarks/bench_failover_processes.py
+++ b/benchmarks/bench_failover_processes.py
@@ -1,9 +1,9 @@
-"""Write gap of a change of primary with real processes and real sockets.
+"""Measures the write gap of a failover with real processes and real sockets.
 
 Each case has a fleet of its own: three endpoints, two nodes, the store and the
-host list. Callers write every 20 ms through both nodes while the primary is
-killed, cut off from its replicas, paused or declared as leaving, with the store
-up and down. bench_failover has more cases on a virtual clock. Run it with
+host list. A client at each node writes every 20 ms while the primary is killed,
+isolated from its replicas, paused or declared as leaving, with the store up and
+down. bench_failover has more cases on a virtual clock. Run it with
 ``python -m benchmarks.bench_failover_processes --seed N --json``.
 """
 
@@ -26,7 +26,7 @@
 
 
 class Writer:
-    """Writes a value every 20 ms and keeps what was answered."""
+    """Writes a value every 20 ms and records the outcomes."""
 
     def __init__(self, fleet: processes.Fleet, host: str) -> None:
         self.session = fleet.make_session(host, timeout_seconds=BOUND_SECONDS)
@@ -36,7 +36,7 @@
         self.stopping = False
 
     async def run(self) -> None:
-        """Write until asked to stop, with many writes in flight."""
+        """Write until ``stopping`` is set; a write does not wait for earlier ones."""
         tasks = []
         for number in itertools.count():
             if self.stopping:
@@ -70,7 +70,7 @@
 
 
 async def find_values(fleet: processes.Fleet) -> tuple[str, list[str]]:
-    """Return the primary and the values as a strong read sees them."""
+    """Return the name of the primary and the values that a strong read returns."""
     session = fleet.make_session(timeout_seconds=BOUND_SECONDS)
     answer = await session.get(
         "gap", kind="scan", consistency=messages.Consistency.STRONG
@@ -81,7 +81,7 @@
 
 
 async def run_case(fault: str, store_up: bool, folder: str) -> dict:
-    """Run one fault and return the gap and what became of the writes."""
+    """Run one fault and return the write gap and the outcomes of the writes."""
     path = pathlib.Path(folder) / f"{fault}-{store_up}"
     path.mkdir()
     async with processes.Fleet(path) as fleet:
@@ -101,7 +101,7 @@
 
 
 def summarize(writers: list[Writer], values: list[str]) -> dict:
-    """Return the gap, and lost or doubled writes."""
+    """Return the longest write gap and the counts of lost and duplicate writes."""
     acknowledged = sorted(pair for writer in writers for pair in writer.acknowledged)
     times = [time for time, _ in acknowledged]
     gaps = [later - earlier for earlier, later in itertools.pairwise(times)]
@@ -120,7 +120,7 @@
     cases = {}
     with tempfile.TemporaryDirectory() as folder:
         for store_up in (True, False):
-            # A change of the declaration needs the store.
+            # The planned change declares a resource, which needs the store.
             faults = FAULTS if store_up else FAULTS[:-1]
             results = await asyncio.gather(
                 *(run_case(fault, store_up, folder) for fault in faults)
@@ -131,7 +131,7 @@
 
 
 def run(seed: int) -> dict:
-    """Run the benchmark; the seed is only reported, real time has none."""
+    """Run the benchmark; the seed is only reported, as real processes ignore it."""
     cases = asyncio.run(run_cases())
     unplanned = [
         case["gap_seconds"] for name, case in cases.items() if "planned" not in name
--- a/benchmarks/bench_faults.py
+++ b/benchmarks/bench_faults.py
@@ -1,7 +1,7 @@
-"""Randomised runs of the real core under faults, replayable by seed.
+"""Runs the real core under random faults, reproducibly by seed.
 
-The last line of the output is one JSON object. The status is 1 if a guarantee
-was broken.
+The last line of the output is one JSON object. The exit status is 1 if a run
+violated a guarantee.
 """
 
 import argparse
@@ -21,17 +21,23 @@
         "--seconds", type=float, default=30.0, help="virtual time with faults"
     )
     parser.add_argument(
-        "--variant", choices=sorted(variants.VARIANTS), help="a broken core to run"
+        "--variant",
+        choices=sorted(variants.VARIANTS),
+        help="variant of the core with a known defect",
     )
     parser.add_argument(
-        "--faults", default="", help="names of the faults to choose from, by commas"
+        "--faults",
+        default="",
+        help="comma-separated names of the faults to choose from",
     )
-    parser.add_argument("--callers", type=int, default=9, help="size of the load")
     parser.add_argument(
-        "--settle", type=float, default=20.0, help="time after the last fault"
+        "--callers", type=int, default=9, help="number of concurrent callers"
+    )
+    parser.add_argument(
+        "--settle", type=float, default=20.0, help="virtual time after the last fault"
     )
     parser.add_argument("--trace", action="store_true", help="print each event")
-    parser.add_argument("--json", action="store_true", help="print only the result")
+    parser.add_argument("--json", action="store_true", help="print only the last line")
     return parser.parse_args(arguments)
 
 
--- a/benchmarks/bench_logs.py
+++ b/benchmarks/bench_logs.py
@@ -1,6 +1,6 @@
-"""Lines and processor time of the structured log, for each answered request.
+"""Measures lines and processor time of the structured log per answered request.
 
-Writes the lines of requests that arrive at a steady rate to a pipe that nobody reads
+Writes the lines of requests that arrive at a steady rate to a pipe that is never read
 and to the null device, and compares them with requests that write no line.
 """
 
@@ -11,10 +11,10 @@
 from hyssopshelf import logs
 
 REQUESTS = 20_000
-"""Requests of a run."""
+"""Number of requests in a run."""
 
 LINES = 2_000
-"""Lines of the run that measures one line."""
+"""Number of lines in the run that measures the cost of one line."""
 
 FIELDS = {
     "id": "5c0e7a21d94b36f8",
@@ -27,16 +27,18 @@
     "version": 7,
     "outcome": "done",
 }
-"""Fields of the line about an answered request."""
+"""Fields of the log line of an answered request."""
 
 
 def measure(descriptor: int | None, failures: bool) -> dict:
-    """Return processor time and lines of a run.
+    """Run all requests and return processor time per request and written lines.
 
     Parameters
     ----------
     descriptor : int or None
-        Where standard output goes; None writes no lines.
+        File that replaces standard output; None writes no lines.
+    failures : bool
+        Whether the requests are logged as failed.
     """
     if descriptor is not None:
         os.dup2(descriptor, 1)
@@ -60,7 +62,7 @@
 
 
 def measure_line(descriptor: int) -> float:
-    """Return the processor time of one written line in microseconds."""
+    """Return the processor time of one written line, in microseconds."""
     os.dup2(descriptor, 1)
     logs.configure_structured(source="node-1")
     cpu = time.process_time()
@@ -71,7 +73,7 @@
 
 
 def run(seed: int) -> dict:
-    """Return the figures of all cases."""
+    """Run all cases and restore standard output."""
     reader, writer = os.pipe()
     null = os.open(os.devnull, os.O_WRONLY)
     stdout = os.dup(1)
