--- a/benchmarks/bench_flood.py
+++ b/benchmarks/bench_flood.py
@@ -1,11 +1,10 @@
-"""Service of ranks and partners while one kind of work floods a pool.
-
-Eight nodes take statements and three of them serve an endpoint of 3 slots each.
-The run drives the real entry limits, endpoint queues, usage exchange and
-accounts on a virtual clock, and compares them with simpler designs: one
-first-in-first-out queue an endpoint, slots divided among the entry nodes with
-strict rank order on each, and strict rank order at the endpoints.
-Load is given in parts of the pool's capacity.
+"""Measures the service of ranks and partners while some work floods a pool.
+
+Eight nodes accept statements; three of them each serve an endpoint of 3 slots. The
+run drives the real entry limits, endpoint queues, usage exchange and accounts on a
+virtual clock and compares them with simpler designs: a first-in-first-out queue per
+endpoint, slots divided among the entry nodes with strict rank order on each, and
+strict rank order at the endpoints. Load is a fraction of the pool's capacity.
 """
 
 import bisect
@@ -34,8 +33,8 @@
 WARM_UP_SECONDS = 10.0
 
 ENTRY_WEIGHTS = (8, 4, 2, 1, 1, 1, 1, 1)
-"""Callers spread unevenly over the entry nodes, as behind a load balancer that
-keeps connections for long."""
+"""Clients spread unevenly over the entry nodes, as behind a load balancer with
+long-lived connections."""
 
 ENTRY_BOUNDS = tuple(itertools.accumulate(ENTRY_WEIGHTS))
 
@@ -71,7 +70,7 @@
 
 
 def make_load(flooding=(), flood=10.0, partners=("a", "b")):
-    """Return the load by partner and rank with a flood in some ranks."""
+    """Return the load by partner and rank, with a flood in the given ranks."""
     load = {(p, r): CAPACITY[p] * part for p in CAPACITY for r, part in BASE.items()}
     for partner, rank in itertools.product(partners, flooding):
         load[partner, rank] = flood / len(partners) / len(flooding)
@@ -88,7 +87,7 @@
     "one_partner_at_two_endpoints": make_load(list(RANKS), 10.0),
 }
 REACH = {"one_partner_at_two_endpoints": {"b": (0, 1)}}
-"""Endpoints that a partner's statements go to, by scenario; all if absent."""
+"""Endpoints that receive a partner's statements, by scenario; all if absent."""
 
 
 COMPARED = (*tuple(SCENARIOS)[:4], "one_partner_floods_all_ranks")
@@ -99,12 +98,12 @@
     "fixed_parts": COMPARED,
     "strict": ("unloaded", "background_flood"),
 }
-"""Designs and their scenarios. ``strict`` always serves the most urgent rank; its
-latency is what a queue that never interrupts running work can reach."""
+"""Scenarios by design. ``strict`` always serves the most urgent rank; its latency is
+the lower bound for a queue that does not preempt running work."""
 
 
 class FifoQueue:
-    """First-in-first-out order with the queue bound of all ranks together."""
+    """First-in-first-out queue bounded by the sum of the queue limits of all ranks."""
 
     def __init__(self, slots):
         self.slots = slots
@@ -157,7 +156,7 @@
 
 
 class StrictQueue(FifoQueue):
-    """Strict rank order, without floors and shares."""
+    """Queue in strict rank order, without floors and shares."""
 
     def has_room(self, rank):
         """Return whether work of a rank can be added."""
@@ -170,7 +169,7 @@
 
 
 class RankedQueue:
-    """The queue of the package with its accounts."""
+    """The real endpoint queue with its accounts."""
 
     slots = SLOTS
 
@@ -210,7 +209,7 @@
 
 @attrs.define(kw_only=True)
 class Tally:
-    """What one partner and rank received in the measured time."""
+    """Counts and times of one partner and rank after the warm-up."""
 
     offered: int = 0
     offered_seconds: float = 0.0
@@ -228,8 +227,8 @@
     def __init__(self, scenario, design, seed):
         self.load, self.reach = SCENARIOS[scenario], REACH.get(scenario, {})
         self.design = design
-        # A stream for each kind of work, so that work which does not flood is the
-        # same in all scenarios and their ratio is not noise of the arrivals.
+        # One random stream per partner and rank gives work that does not flood the
+        # same arrivals in all scenarios, so ratios of scenarios have no such noise.
         self.streams = {key: random.Random(f"{seed}/{key}") for key in KEYS}
         self.events, self.order = [], itertools.count()
         self.now = 0.0
@@ -271,7 +270,7 @@
         heapq.heappush(self.events, (at, next(self.order), handler, arguments))
 
     def run(self):
-        """Run the scenario and return the simulation."""
+        """Run the scenario to its end and return the simulation itself."""
         for key in KEYS:
             self._push(0.0, self._arrive, key)
         if self.design == "ranked":
@@ -292,7 +291,7 @@
         return self.now >= WARM_UP_SECONDS
 
     def _measure(self):
-        """Count the slots in use while work waits, before the state changes."""
+        """Add the busy slot time while work waits; call before the state changes."""
         elapsed = self.now - max(self.measured_at, WARM_UP_SECONDS)
         self.measured_at = self.now
         if elapsed <= 0.0:
@@ -315,7 +314,7 @@
         draw = stream.random() * ENTRY_BOUNDS[-1]
         entry = bisect.bisect(ENTRY_BOUNDS, draw)
         endpoint = stream.choice(self.reach.get(partner, (0, 1, 2)))
-        # Drawn here so that every design meets the same statements.
+        # Drawn before any refusal, so that every design gets the same statements.
         length = stream.lognormvariate(-0.5, 1.0) * MEAN_SECONDS
         tally = self.tallies[key]
         tally.offered += self._measuring
@@ -422,7 +421,7 @@
 
 
 def summarise(run):
-    """Return the figures of one run."""
+    """Return shares, latencies and counts of one run."""
     tallies = run.tallies
     total = sum(tally.slot_seconds for tally in tallies.values())
     slots = SLOTS * len(ENDPOINTS) * (RUN_SECONDS - WARM_UP_SECONDS)
@@ -469,7 +468,7 @@
 
 
 def offered(run, number, name):
-    """Return the load that a partner (0) or rank (1) offered in a run."""
+    """Return the load that a partner (``number`` 0) or rank (1) offered in a run."""
     return sum(
         row["offered_load"]
         for key, row in run["work"].items()
@@ -480,8 +479,8 @@
 def judge(runs):
     """Compare the runs of one design with the goals and list the misses.
 
-    A floor or share counts as kept if the service is at least the smaller of
-    it and the load offered, less the tolerance.
+    A floor or share is met if the service is at least the smaller of it and the
+    offered load, less the tolerance.
     """
     goals = {}
     flood, quiet = runs["background_flood"], runs["unloaded"]
--- a/benchmarks/bench_membership.py
+++ b/benchmarks/bench_membership.py
@@ -1,10 +1,9 @@
-"""Cost of membership and time until all nodes know a failed host.
+"""Measures the cost of membership and the time until all nodes know of a crash.
 
-Fleets of 8, 80 and 800 nodes run in one process under a virtual clock: steady,
-with 1% and 5% of the messages lost, with paused nodes, and with a crashed node.
-The cost of one node is measured on the processor and fitted over the number of
-nodes; the cost of single operations is also measured with the table of the
-target size.
+Fleets of 8, 80 and 800 nodes run in one process on a virtual clock: in the steady
+state, with 1% and 5% of the messages lost, with paused nodes, and with crashed nodes.
+The processor time of one node is fitted over the number of nodes; single operations
+are also measured with a host table of the target size.
 
 Run ``python -m benchmarks.bench_membership --seed 1 --json``.
 """
@@ -26,29 +25,29 @@
 TARGET_ENDPOINTS = 26_400
 TARGET_PLACES = 14
 CHANGES_A_SECOND = 3 * 4117 / 86_400
-"""Changes of hosts at the target size: each of 4,100 restarts and 17 failures a
-day is a leaving or a suspicion, a death and a return."""
+"""Changes of hosts at the target size: each of 4,100 restarts and 17 failures a day
+is three changes, a leaving or a suspicion, a death and a return."""
 
 STEADY_NODE_SECONDS = 1600
 LOSSY_NODE_SECONDS = 2000
-"""Time of a scenario times the number of nodes, so that all sizes have the same
-number of probes."""
+"""Seconds of a scenario times the number of nodes. It is constant, so that all sizes
+send the same number of probes."""
 
 SETTLE_SECONDS = 5.0
-"""Time in which suspicions that are under way end."""
+"""Time after which pending suspicions have been refuted or confirmed."""
 
 WATCHED_SECONDS = 6.0
-"""Time for which a pause or a crash is watched."""
+"""Observation time after a pause or, with 4 s added, after a crash."""
 
 CRASHES = {8: 20, 80: 6, 800: 1}
-"""Fleets with two crashes each, by number of nodes."""
+"""Number of fleets with two crashes each, by number of nodes."""
 
 PAUSES = (1.0, 5.0)
 PAUSED_PART = 0.02
 
 
 def list_times(fleet, event, name: str, since: float) -> list[float]:
-    """Return for each node that saw it the time of an event about a host."""
+    """Return when each node first logged an event about a host, in order of time."""
     times = []
     for member in fleet.members.values():
         seen = [
@@ -61,7 +60,7 @@
 
 
 def count_events(fleet, event) -> dict[str, int]:
-    """Return on how many nodes an event was seen, by host."""
+    """Return how often all nodes together logged an event, by host."""
     counts: dict[str, int] = {}
     for member in fleet.members.values():
         for _, logged, fields in member.logged:
@@ -78,7 +77,7 @@
 
 
 def measure_cost(fleet, seconds: float) -> dict:
-    """Return what one node sends and computes in a second."""
+    """Return the mean messages, bytes and processor time of a node per second."""
     reset(fleet)
     fleet.run(seconds)
     members = [member for member in fleet.members.values() if member.up]
@@ -95,7 +94,7 @@
 
 
 def measure_loss(fleet, loss: float) -> dict:
-    """Return the false suspicions under message loss."""
+    """Return the cost and the false suspicions under message loss."""
     fleet.loss = loss
     figures = measure_cost(fleet, LOSSY_NODE_SECONDS / len(fleet.members))
     refuted = count_events(fleet, logs.LogEvent.SUSPICION_REFUTED)
@@ -116,7 +115,7 @@
 
 
 def measure_pauses(fleet) -> dict:
-    """Return what pauses of some nodes do to these and to the other nodes."""
+    """Return how many paused and other hosts are suspected or declared dead."""
     figures = {}
     for seconds in PAUSES:
         reset(fleet)
@@ -138,7 +137,7 @@
 
 
 def measure_crashes(fleets_to_crash: list) -> dict:
-    """Return the time until the first node and all nodes know of a crash."""
+    """Return the times until the first node and until all nodes know of a crash."""
     first, every = [], []
     for fleet in fleets_to_crash:
         reset(fleet)
@@ -162,7 +161,7 @@
 
 
 def run_size(nodes: int, seed: int) -> dict:
-    """Return the figures of one number of nodes."""
+    """Run all scenarios with one number of nodes."""
     fleet = fleets.make_fleet(nodes, seed=seed)
     fleet.run(2.0)
     others = [
@@ -181,7 +180,7 @@
 
 
 def fit(figures: dict, name: str) -> dict:
-    """Return the line through a steady cost over the number of nodes."""
+    """Fit a line to a steady-state cost over the number of nodes."""
     sizes = list(figures)
     values = [figures[nodes]["steady"][name] for nodes in sizes]
     slope, start = statistics.linear_regression(sizes, values)
@@ -193,7 +192,7 @@
 
 
 def measure_seconds(function, repeats: int) -> float:
-    """Return the processor time of one call."""
+    """Return the mean processor time of a call in seconds."""
     started = time.process_time()
     for _ in range(repeats):
         function()
@@ -201,13 +200,13 @@
 
 
 def get_resident_megabytes() -> float:
-    """Return the resident memory of the process."""
+    """Return the resident memory of the process in megabytes."""
     pages = int(pathlib.Path("/proc/self/statm").read_text().split()[1])
     return pages * resource.getpagesize() / 1e6
 
 
 def make_target_board() -> blackboard.Blackboard:
-    """Return a node with the hosts of the target size."""
+    """Return the blackboard of a node that knows all hosts of the target size."""
     identity = blackboard.Identity(host="h0000", address="h0000:7100", place="p0")
     board = blackboard.Blackboard(identity=identity, random=random.Random(1))
     for entry in fleets.make_entries(TARGET_NODES, TARGET_PLACES):
@@ -235,7 +234,7 @@
 
 
 def measure_target() -> dict:
-    """Return the cost of single operations with the table of the target size."""
+    """Return the cost of single operations with a host table of the target size."""
     empty = get_resident_megabytes()
     board = make_target_board()
     with_hosts = get_resident_megabytes()
@@ -276,7 +275,7 @@
     lookup = measure_seconds(
         lambda: placement.locate(board, "pool/db0100/e1", 0.2), 2000
     )
-    # 20 ticks, a probe with its answer in each direction, changes of hosts.
+    # Per second: 20 ticks, a probe and its answer in each direction, host changes.
     share = 20 * (idle + placing) + 2 * probe + CHANGES_A_SECOND * change
     return {
         "idle_tick_us": round((idle + placing) * 1e6, 1),
@@ -293,9 +292,9 @@
 def main() -> None:
     values = commands.parse_arguments(__doc__)
     started = time.monotonic()
-    # The first run of the code is slower and is not counted.
+    # Warm up, because the first run of the code is slower.
     fleets.make_fleet(SIZES[0], seed=0).run(5.0)
-    # Before the fleets, whose freed memory would hide what the tables take.
+    # Measured before the fleets, whose freed memory would hide that of the tables.
     target = measure_target()
     figures = {nodes: run_size(nodes, values.seed) for nodes in SIZES}
     if not values.json:
--- a/benchmarks/bench_placement.py
+++ b/benchmarks/bench_placement.py
@@ -1,10 +1,10 @@
-"""Balance of placement and its effect on slow statements.
+"""Measures the load balance of placement rules and its effect on slow statements.
 
-Endpoints of skewed popularity are placed on nodes by several rules: steady,
-after the number of nodes doubled, and after the hosts of a place were lost. The
-resource is the node's processor. The slowdown of a statement is its time over
-the time without any queueing; its 99th percentile is taken over a sample of
-nodes that covers all loads.
+Endpoints of skewed popularity are placed on nodes by several rules: in the steady
+state, after the number of nodes doubled, and after all hosts of a place were lost.
+The contended resource is the node's processor. The slowdown of a statement is its
+latency divided by its latency without queueing; the 99th percentile is taken over a
+sample of nodes that covers all loads.
 
 Run ``python -m benchmarks.bench_placement --seed 1 --json``.
 """
@@ -21,7 +21,7 @@
 from hyssopshelf.membership import balancing, placement, records
 
 SIZES = {8: 3, 80: 6, 800: 14}
-"""Numbers of nodes with their numbers of places."""
+"""Number of places by number of nodes."""
 
 ENDPOINTS_PER_NODE = 5.2
 STATEMENTS_PER_NODE = 1040.0
@@ -31,16 +31,16 @@
 """Exponent of the popularity of endpoints (Zipf)."""
 
 MAXIMUM_UTILISATION = 0.7
-"""Part of an endpoint's slots that its statements may take."""
+"""Largest fraction of an endpoint's slots that its statements use."""
 
 SAMPLED_NODES = 32
 SIMULATED_SECONDS = 1.5
 REVIEWS = 6
-"""Reviews of the load after a change; 60 s with the present period."""
+"""Load reviews after a change, equal to 60 s at the current review period."""
 
 
 def make_rates(names: list[str], total: float, rng: random.Random) -> dict:
-    """Return statements a second by endpoint, skewed and bounded by the slots."""
+    """Return statements per second by endpoint, skewed and bounded by the slots."""
     weights = [1 / (rank + 1) ** SKEW for rank in range(len(names))]
     rng.shuffle(weights)
     bound = MAXIMUM_UTILISATION * SLOTS / SERVICE_SECONDS
@@ -79,7 +79,7 @@
 
 
 def place_plain(board, rates: dict) -> dict:
-    """Place by the hash alone."""
+    """Place each endpoint by rendezvous hashing alone."""
     return {
         endpoint: choices[0]
         for table in board.placement_state.tables.values()
@@ -88,7 +88,7 @@
 
 
 def place_bounded(board, rates: dict) -> dict:
-    """Place by the hash with bounded load."""
+    """Place each endpoint by rendezvous hashing with bounded loads."""
     return {
         endpoint: host
         for table in board.placement_state.tables.values()
@@ -97,7 +97,7 @@
 
 
 def place_second(board, rates: dict) -> dict:
-    """Place at the less loaded of two choices, with knowledge of all loads."""
+    """Place at the less loaded of the first two choices, given all loads."""
     loads: dict[str, float] = {}
     placed = {}
     for table in board.placement_state.tables.values():
@@ -109,7 +109,7 @@
 
 
 def review(board, placed: dict, rates: dict, reviews: int) -> dict:
-    """Apply the moves that busy hosts make in a number of reviews."""
+    """Apply the moves that overloaded hosts make in a number of reviews."""
     placed = dict(placed)
     choices = {
         endpoint: row
@@ -146,7 +146,7 @@
 
 
 def simulate(rates: dict[str, float], rng: random.Random) -> list[float]:
-    """Return the slowdowns of the statements of one node."""
+    """Simulate the statements of one node and return their slowdowns."""
     names = list(rates)
     weights = [rates[name] for name in names]
     total = sum(weights)
@@ -169,7 +169,7 @@
 
 
 def measure(board, placed: dict, rates: dict, rng: random.Random) -> dict:
-    """Return the balance and the slowdown of a placement."""
+    """Return the imbalance and the 99th percentile of the slowdown."""
     live = [n for n, r in board.hosts.items() if records.is_usable(r, 0.0)]
     owned: dict[str, dict[str, float]] = {name: {} for name in live}
     for endpoint, host in placed.items():
@@ -190,13 +190,13 @@
 
 
 def count_moved(before: dict, after: dict) -> float:
-    """Return the part of the endpoints whose host changed."""
+    """Return the fraction of the endpoints whose host changed."""
     moved = sum(before[endpoint] != host for endpoint, host in after.items())
     return round(moved / len(after), 3)
 
 
 def change(board, scenario: str, nodes: int, places: int) -> None:
-    """Apply a scenario to the hosts."""
+    """Apply a scenario to the hosts and place all endpoints again."""
     if scenario == "doubled":
         for name, record in make_board(2 * nodes, places).hosts.items():
             board.hosts.setdefault(name, record)
@@ -214,7 +214,7 @@
 
 
 def run_size(nodes: int, places: int, seed: int) -> dict:
-    """Return the figures of one number of nodes."""
+    """Run all scenarios and placement rules with one number of nodes."""
     rng = random.Random(f"{seed}/{nodes}")
     board = make_board(nodes, places)
     names = add_endpoints(board, round(nodes * ENDPOINTS_PER_NODE), places)
@@ -241,7 +241,7 @@
 
 
 def judge(figures: dict) -> dict:
-    """Return by how much p99 grows after the loss of a place, in percent."""
+    """Return the growth of the p99 slowdown after a place is lost, in percent."""
     growth = {}
     for nodes, scenarios in figures.items():
         growth[nodes] = {
--- a/benchmarks/bench_replica_reads.py
+++ b/benchmarks/bench_replica_reads.py
@@ -1,6 +1,6 @@
-"""Share of reads served by replicas at several replica lags, and stale reads.
+"""Measures the share of reads that replicas serve, and stale reads, by replica lag.
 
-Runs the real core on the virtual clock of the fault runs, without faults. Six
+Runs the real core on the virtual clock of the fault simulation, without faults. Six
 nodes in three places with 12 ms between the places serve two databases. The
 baseline sends every session read to the primary. Run it with
 ``python -m benchmarks.bench_replica_reads --seed N --json``.
@@ -18,8 +18,8 @@
 LAGS_SECONDS = (0.0, 0.1, 1.0, 10.0)
 LOAD_SECONDS = 30.0
 WARM_UP_SECONDS = 3.0
-"""Reads do not count before all nodes have polled their endpoints and before the
-data that was there at the start is twice as old as the lag."""
+"""Reads count only after all nodes have polled their endpoints and the data present
+at the start is older than twice the lag."""
 
 KINDS = (
     callers.Kind(name="order", staleness_seconds=0.5, acknowledge="majority"),
@@ -30,7 +30,7 @@
 
 
 class Reader(callers.Caller):
-    """A caller that only reads, with data as old as its kind allows."""
+    """A caller that sends only reads, with the staleness bound of its kind."""
 
     def _run(self):
         while self._loop.now < self.stop_at:
@@ -46,7 +46,7 @@
 
 
 class MixedWorld(world.World):
-    """A fleet in which half of the callers of each kind only read."""
+    """A fleet in which half of the callers of each kind only send reads."""
 
     def _make_caller(self, name: str, kind: callers.Kind) -> callers.Caller:
         made = super()._make_caller(name, kind)
@@ -57,7 +57,7 @@
 
 
 def run_lag(seed: int, lag: float, load_seconds: float = LOAD_SECONDS) -> dict:
-    """Run one lag and return the shares, latencies and stale reads."""
+    """Run with one replica lag (seconds) and return shares, latencies, violations."""
     options = world.Options(
         seed=seed,
         seconds=0.0,
@@ -89,7 +89,7 @@
 
 
 def summarize(rows: list) -> dict:
-    """Return the share of replica reads and the median latency."""
+    """Return the number of reads, the share of replicas and the median latency."""
     latencies = [row.answered_at - row.invoked_at for row in rows]
     return {
         "count": len(rows),
@@ -99,7 +99,7 @@
 
 
 def needs_primary_always(consistency, required) -> bool:
-    """Return whether a read goes to the primary in the baseline."""
+    """Return whether the baseline sends a read to the primary."""
     return consistency is not messages.Consistency.BOUNDED
 
 
--- a/benchmarks/bench_throughput.py
+++ b/benchmarks/bench_throughput.py
@@ -1,11 +1,11 @@
-"""Statements a second a core, and the latency that the proxies add.
+"""Measures statements per second and core, and the latency that the proxies add.
 
-Real processes on 127.0.0.1: three endpoints without a service time and two
+Real processes on loopback addresses: three endpoints without a service time and two
 nodes. The bare cost is the processor time of an endpoint, a tornado websocket
 server, for one read. All endpoints are in the place of the second node, so a
-statement that enters at the first one is always forwarded. Processor time is read
-from the kernel's account of each process. All figures come from one run; compare
-ratios, the machine is shared. Run it with
+statement that enters at the first one is always forwarded. Processor time comes from
+``/proc/PID/stat`` of each process. All figures come from one run; compare ratios,
+because other load on the machine changes absolute values. Run it with
 ``python -m benchmarks.bench_throughput --seed N --json``.
 """
 
@@ -28,18 +28,18 @@
 PLACES = (processes.PLACES[1],) * 3
 CASES = ("read", "write_confirmed", "write_majority")
 TARGET_STATEMENTS = 1040.0
-"""Statements a second at each node of the target size."""
+"""Statements per second at each node of the target size."""
 
 
 def read_processor_seconds(process: processes.Process) -> float:
-    """Return the processor time that a process has used."""
+    """Return the user and system time that a process has used, in seconds."""
     text = pathlib.Path(f"/proc/{process.popen.pid}/stat").read_text()
     fields = text.rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_A_SECOND
 
 
 async def run_load(step, seconds: float) -> dict:
-    """Call ``step(number)`` from several tasks and return rate and latencies."""
+    """Call ``step(number)`` from ``SESSIONS`` tasks; return rate and latencies."""
     latencies = []
     end = time.perf_counter() + seconds
 
@@ -62,7 +62,7 @@
 
 
 async def measure_direct(fleet: processes.Fleet) -> dict:
-    """Measure reads on connections straight to an endpoint."""
+    """Measure reads on direct connections to an endpoint."""
     address = fleet.find_address("a")
     sockets = []
     for _ in range(SESSIONS):
@@ -87,7 +87,7 @@
 
 
 async def measure_case(fleet: processes.Fleet, case: str, host: str) -> dict:
-    """Measure one kind of statement that enters at a node."""
+    """Measure one case with sessions that use only one node."""
     sessions = [fleet.make_session(host, seed=n) for n in range(SESSIONS)]
 
     async def step(number: int) -> None:
@@ -117,7 +117,7 @@
 
 
 async def run(seed: int) -> dict:
-    """Run all cases."""
+    """Run the direct reads and all cases on one fleet."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = processes.Fleet(
             pathlib.Path(folder),
