--- a/benchmarks/bench_bad_hours.py
+++ b/benchmarks/bench_bad_hours.py
@@ -24,9 +24,9 @@
 def serve_snapshot(fleet) -> dict:
     """Return the cost of serving the whole snapshot to a starting node."""
     fleet.reset_costs()
-    asker, after = fleet.names[0], ""
+    requester, after = fleet.names[0], ""
     while True:
-        fleet.deliver(asker, snapshots.SnapshotRequest(after=after))
+        fleet.deliver(requester, snapshots.SnapshotRequest(after=after))
         fleet.run(0.0)
         names = [name for name in fleet.pools if name > after]
         after = names[: snapshots.PART_DOCUMENTS][-1]
@@ -53,7 +53,7 @@
     return {"hosts": len(names), "lost": lost, "back": back}
 
 
-def run_reader(fleet, sockets) -> dict:
+def run_store_watcher(fleet, sockets) -> dict:
     """Return the cost of the nodes that read the store and the host list."""
     board = fleet.board
     version = board.membership.version
@@ -96,20 +96,20 @@
 
 def run(seed: int) -> dict:
     """Run all exceptional cases on one node."""
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     sockets = socket_costs.measure()
     fleet = control_fleet.ControlFleet(size=bench_control.TARGET, seed=seed)
     control_fleet.clear_caches()
     gc.collect()
     report = {"benchmark": "bad_hours", "seed": seed}
     report["start"] = bench_control.run_start(fleet, sockets)
-    bench_control.skip_learning(fleet)
+    bench_control.enter_steady_state(fleet)
     report["snapshot_served"] = serve_snapshot(fleet)
-    report["reader"] = run_reader(fleet, sockets)
+    report["reader"] = run_store_watcher(fleet, sockets)
     report["domain_lost"] = run_outage(fleet, False, sockets)
-    bench_control.skip_learning(fleet)
+    bench_control.enter_steady_state(fleet)
     report["region_cut_off"] = run_outage(fleet, True, sockets)
-    report["wall_seconds"] = round(time.perf_counter() - began, 1)
+    report["wall_seconds"] = round(time.perf_counter() - started_at, 1)
     return report
 
 
--- a/benchmarks/bench_config.py
+++ b/benchmarks/bench_config.py
@@ -21,9 +21,9 @@
 GOAL_BYTES_PER_SECOND = 5000
 CHANGES_PER_DAY = 13_000
 POOL = "labelstore"
-ACCEPTING = "h005"
-CUT = "h006"
-CUT_SECONDS = 60.0
+ACCEPTING_HOST = "h005"
+ISOLATED_HOST = "h006"
+ISOLATION_SECONDS = 60.0
 IDLE_SECONDS = 5.0
 COARSE_TICK_SECONDS = 0.5
 """Tick while a node is isolated; nothing there depends on a tick of 50 ms."""
@@ -31,7 +31,7 @@
 STORE_SLOW_SECONDS = 1.5
 POLL_SECONDS = 1.0
 EXAMPLE = pathlib.Path(__file__).parents[1] / "examples" / "priehradka.yaml"
-DECLARED = declarations.parse_text(EXAMPLE.read_text())
+DECLARED_RESOURCES = declarations.parse_text(EXAMPLE.read_text())
 
 
 def start_fleet(size: int, seed: int) -> tuple[fleet.Fleet, dict]:
@@ -43,19 +43,19 @@
         "seconds": round(nodes.now, 3),
         "store_calls": sum(nodes.store.calls.values()),
     }
-    request = requests.Apply(pool=POOL, change_id="first", resources=DECLARED)
+    request = requests.Apply(pool=POOL, change_id="first", resources=DECLARED_RESOURCES)
     nodes.request("h000", request)
     wait_in_force(nodes, 1)
     nodes.run(1)
     return nodes, figures
 
 
-def wait_in_force(nodes: fleet.Fleet, version: int, cut: tuple = ()) -> bool:
+def wait_in_force(nodes: fleet.Fleet, version: int, isolated: tuple = ()) -> bool:
     """Run at most 15 s until all live, connected nodes have a version in force."""
     expected = {
         (host, member.board.identity.incarnation)
         for host, member in nodes.members.items()
-        if member.alive and host not in cut
+        if member.alive and host not in isolated
     }
     times = nodes.applied.setdefault((POOL, version), {})
     return nodes.run(15, lambda: len(times) >= len(expected) and expected <= set(times))
@@ -63,9 +63,13 @@
 
 def change_split(nodes: fleet.Fleet, version: int, share: float) -> str:
     """Request a change of the split at the accepting node."""
-    held = next(i for i in DECLARED if i.kind is resources.ResourceKind.SPLIT)
+    declared = next(
+        i for i in DECLARED_RESOURCES if i.kind is resources.ResourceKind.SPLIT
+    )
     shares = {"priehradka": share, "steyrtal": 1 - share}
-    split = attrs.evolve(held, spec=resources.SplitSpec(capacity=shares, bill=shares))
+    split = attrs.evolve(
+        declared, spec=resources.SplitSpec(capacity=shares, bill=shares)
+    )
     request = requests.Apply(
         pool=POOL,
         change_id=f"change-{version}",
@@ -73,10 +77,10 @@
         base_version=version - 1,
         remaining_seconds=10.0,
     )
-    return nodes.request(ACCEPTING, request)
+    return nodes.request(ACCEPTING_HOST, request)
 
 
-def measure(nodes: fleet.Fleet, version: int, after_commit=None, cut=()) -> dict:
+def measure(nodes: fleet.Fleet, version: int, after_commit=None, isolated=()) -> dict:
     """Make a change and return its measurements.
 
     ``after_commit`` is called when the store holds the change, which is also the
@@ -91,7 +95,7 @@
     accepted_at = nodes.now
     if after_commit is not None:
         after_commit(nodes)
-    in_force = wait_in_force(nodes, version, cut)
+    in_force = wait_in_force(nodes, version, isolated)
     first = min(nodes.applied[(POOL, version)].values(), default=nodes.now)
     return {
         "committed": committed,
@@ -105,29 +109,29 @@
 def stop_store(nodes: fleet.Fleet) -> None:
     """Stop the store once the accepting node has the new version."""
     newest = max(nodes.versions(POOL).values())
-    nodes.run(1, lambda: nodes.versions(POOL)[ACCEPTING] > newest)
+    nodes.run(1, lambda: nodes.versions(POOL)[ACCEPTING_HOST] > newest)
     nodes.store.down = True
 
 
 def run_faults(nodes: fleet.Fleet) -> dict:
     """Measure one change under each fault."""
-    found = {"no_fault": measure(nodes, 2)}
+    results = {"no_fault": measure(nodes, 2)}
     nodes.store.delay_seconds = STORE_SLOW_SECONDS
-    found["store_slow"] = measure(nodes, 3)
+    results["store_slow"] = measure(nodes, 3)
     nodes.store.delay_seconds = fleet.STORE_SECONDS
     nodes.run(1)
     nodes.store.lost_answers = 1
-    found["answer_lost"] = measure(nodes, 4)
-    found["store_down_after"] = measure(nodes, 5, stop_store)
+    results["answer_lost"] = measure(nodes, 4)
+    results["store_down_after"] = measure(nodes, 5, stop_store)
     nodes.store.down = False
     run_coarsely(nodes, 8)
-    found["accepting_node_dead"] = measure(
-        nodes, 6, lambda fleet: fleet.kill(ACCEPTING)
+    results["accepting_node_dead"] = measure(
+        nodes, 6, lambda fleet: fleet.kill(ACCEPTING_HOST)
     )
-    nodes.restart(ACCEPTING)
+    nodes.restart(ACCEPTING_HOST)
     nodes.run(5, nodes.ready)
-    found["node_cut_off"] = run_cut(nodes)
-    return found
+    results["node_cut_off"] = run_isolation(nodes)
+    return results
 
 
 def run_coarsely(nodes: fleet.Fleet, seconds: float) -> None:
@@ -138,17 +142,17 @@
     nodes.run(COARSE_TICK_SECONDS)
 
 
-def run_cut(nodes: fleet.Fleet) -> dict:
+def run_isolation(nodes: fleet.Fleet) -> dict:
     """Isolate a node, change the split, and reconnect the node after a minute."""
-    nodes.members[CUT].cut = True
-    figures = measure(nodes, 7, cut=(CUT,))
-    run_coarsely(nodes, CUT_SECONDS)
-    held = nodes.versions(POOL)[CUT]
-    nodes.members[CUT].cut = False
+    nodes.members[ISOLATED_HOST].cut = True
+    figures = measure(nodes, 7, isolated=(ISOLATED_HOST,))
+    run_coarsely(nodes, ISOLATION_SECONDS)
+    found = nodes.versions(POOL)[ISOLATED_HOST]
+    nodes.members[ISOLATED_HOST].cut = False
     start = nodes.now
     caught_up = wait_in_force(nodes, 7)
     return figures | {
-        "version_while_cut": held,
+        "version_while_cut": found,
         "caught_up": caught_up,
         "seconds_after_contact": round(nodes.now - start, 3),
     }
@@ -201,7 +205,7 @@
 
 def run_size(size: int, seed: int) -> dict:
     """Run all measurements for one number of nodes."""
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     nodes, start = start_fleet(size, seed)
     faults = run_faults(nodes)
     figures = {
@@ -211,7 +215,7 @@
         "reversions": nodes.reversions,
         "baseline_polling": run_baseline(size, seed),
     }
-    return figures | {"wall_seconds": round(time.perf_counter() - began, 1)}
+    return figures | {"wall_seconds": round(time.perf_counter() - started_at, 1)}
 
 
 def find_worst(by_size: dict, field: str) -> float:
--- a/benchmarks/bench_control.py
+++ b/benchmarks/bench_control.py
@@ -94,7 +94,7 @@
     return best
 
 
-def describe(
+def compute_rates(
     costs: control_fleet.Costs, seconds: float, sockets: socket_costs.SocketCosts
 ) -> dict:
     """Return the rates of a window of ``seconds``."""
@@ -125,7 +125,7 @@
     }
 
 
-def skip_learning(fleet: control_fleet.ControlFleet) -> None:
+def enter_steady_state(fleet: control_fleet.ControlFleet) -> None:
     """Put the node into the steady state that it reaches minutes after a start.
 
     All primaries are known, and the rows of hosts learned at the start are no longer
@@ -143,7 +143,7 @@
     gc.collect()
     fleet.reset_costs()
     fleet.run(seconds)
-    return describe(fleet.reset_costs(), seconds, sockets)
+    return compute_rates(fleet.reset_costs(), seconds, sockets)
 
 
 def measure_memory(size: control_fleet.Size, seed: int) -> float:
@@ -153,7 +153,7 @@
     gc.collect()
     tracemalloc.start()
     fleet.start()
-    skip_learning(fleet)
+    enter_steady_state(fleet)
     fleet.serve_statements()
     fleet.run(3.0)
     gc.collect()
@@ -166,7 +166,7 @@
     """Return the rates of one size in the steady state."""
     fleet = control_fleet.ControlFleet(size=size, seed=seed)
     fleet.start()
-    skip_learning(fleet)
+    enter_steady_state(fleet)
     fleet.serve_statements()
     fleet.run(2.0)
     figures = measure_window(fleet, WINDOW_SECONDS, sockets)
@@ -184,7 +184,7 @@
     return {
         "fixed": attrs.asdict(SMALL),
         "points": points,
-        "fits": fit(axis, points),
+        "fits": fit_metrics(axis, points),
     }
 
 
@@ -197,11 +197,11 @@
     return {
         "fixed": attrs.asdict(SMALL),
         "points": points,
-        "fits": fit(axis, points),
+        "fits": fit_metrics(axis, points),
     }
 
 
-def fit(axis: str, points: list[dict]) -> dict:
+def fit_metrics(axis: str, points: list[dict]) -> dict:
     """Fit a line to each metric and extrapolate it to the target size."""
     found = {}
     for metric in METRICS:
@@ -229,7 +229,11 @@
         figures["memory_mb"] = round((read_resident_bytes() - before) / 1e6, 3)
         # The actual rate, because a window holds a whole number of events.
         points.append({axis: count * DAY_SECONDS / WINDOW_SECONDS} | figures)
-    return {"fixed": attrs.asdict(TARGET), "points": points, "fits": fit(axis, points)}
+    return {
+        "fixed": attrs.asdict(TARGET),
+        "points": points,
+        "fits": fit_metrics(axis, points),
+    }
 
 
 def schedule_events(fleet, axis: str, rate: float) -> int:
@@ -270,7 +274,7 @@
     control_fleet.clear_caches()
     gc.collect()
     figures = {"start": run_start(fleet, sockets)}
-    skip_learning(fleet)
+    enter_steady_state(fleet)
     fleet.run(2.0)
     figures["steady"] = measure_window(fleet, WINDOW_SECONDS, sockets)
     figures["served"] = len(fleet.board.placement_state.served_endpoints)
@@ -282,7 +286,7 @@
     return figures, axes
 
 
-def add_up(steady: dict, axes: dict) -> dict:
+def sum_ordinary_day(steady: dict, axes: dict) -> dict:
     """Add the steady state, changes and restarts of a day at the target size."""
     total = {}
     for metric in METRICS[:-1]:
@@ -300,7 +304,7 @@
 
 def run(seed: int) -> dict:
     """Run all measurements."""
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     target, rate_axes = run_target(seed, sockets := socket_costs.measure())
     axes = {axis: run_axis(axis, seed, sockets) for axis in POINTS} | rate_axes
     return {
@@ -311,10 +315,10 @@
         },
         "axes": axes,
         "target_size": target,
-        "ordinary_day": add_up(target["steady"], rate_axes),
+        "ordinary_day": sum_ordinary_day(target["steady"], rate_axes),
         "budget": BUDGET,
         "reference_ms": round(1000 * measure_reference(), 1),
-        "wall_seconds": round(time.perf_counter() - began, 1),
+        "wall_seconds": round(time.perf_counter() - started_at, 1),
     }
 
 
--- a/benchmarks/bench_control_memory.py
+++ b/benchmarks/bench_control_memory.py
@@ -11,7 +11,7 @@
 
 def run(seed: int) -> dict:
     """Measure all axes."""
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     axes = {
         axis: bench_control.run_memory_axis(axis, seed)
         for axis in bench_control.MEMORY_POINTS
@@ -20,7 +20,7 @@
         "benchmark": "control_memory",
         "seed": seed,
         "axes": axes,
-        "wall_seconds": round(time.perf_counter() - began, 1),
+        "wall_seconds": round(time.perf_counter() - started_at, 1),
     }
 
 
--- a/benchmarks/bench_failover.py
+++ b/benchmarks/bench_failover.py
@@ -15,7 +15,7 @@
 from benchmarks import commands, failover_fleet
 from hyssopshelf.failover import observations, promotion
 
-WARM_SECONDS = 5.0
+WARM_UP_SECONDS = 5.0
 LOAD_SECONDS = 14.0
 FAULT_AFTER_SECONDS = 2.0
 PAUSE_SECONDS = 6.0
@@ -33,7 +33,7 @@
 FAULTS = ("killed", "cut_off", "partitioned", "paused", "slow", "promoter_killed")
 
 
-def break_primary(fleet, fault: str) -> None:
+def inject_fault(fleet, fault: str) -> None:
     """Apply a fault to the current primary."""
     primary = fleet.find_primary()
     place = fleet.places[primary]
@@ -62,7 +62,7 @@
             return
 
 
-def start_change(fleet) -> None:
+def request_planned_change(fleet) -> None:
     """Request a planned change of primary at a random node."""
     primary = fleet.find_primary()
     targets = [name for name in fleet.instances if name != primary]
@@ -76,7 +76,7 @@
 ) -> dict:
     """Run one fault under a steady write load; return gaps and counts of writes."""
     fleet = failover_fleet.Fleet(seed=seed, delay=REGION_DELAY_SECONDS)
-    fleet.run(WARM_SECONDS + fleet.random.random())
+    fleet.run(WARM_UP_SECONDS + fleet.random.random())
     place = fleet.places[fleet.find_primary()]
     # Clients on the minority side cannot be served, so they send no writes.
     hosts = [
@@ -90,12 +90,12 @@
     fleet.store.down = store_down
     changes = len(fleet.promotions)
     if fault == "planned":
-        start_change(fleet)
+        request_planned_change(fleet)
     else:
-        break_primary(fleet, fault)
+        inject_fault(fleet, fault)
     if fault == "promoter_killed":
         kill_promoter(fleet, start + LOAD_SECONDS)
-    with wait_for_lease(seed) if lease else contextlib.nullcontext():
+    with apply_lease_baseline(seed) if lease else contextlib.nullcontext():
         fleet.run(start + LOAD_SECONDS + 6.0)
     writes = fleet.writes.values()
     end = start + LOAD_SECONDS
@@ -112,7 +112,7 @@
 
 
 @contextlib.contextmanager
-def wait_for_lease(seed: int):
+def apply_lease_baseline(seed: int):
     """Make promotions wait for the rest of a lease, as in the baseline."""
     lost, hold = observations.LOST_SECONDS, promotion.HOLD_SECONDS
     renewed_before = random.Random(seed).uniform(0.0, LEASE_SECONDS / 3)
@@ -124,7 +124,7 @@
         observations.LOST_SECONDS, promotion.HOLD_SECONDS = lost, hold
 
 
-def summarise(runs: list[dict]) -> dict:
+def summarize(runs: list[dict]) -> dict:
     """Return the longest gaps and the sums of the counts."""
     summary = {key: sum(run[key] for run in runs) for key in runs[0]}
     for key in GAPS:
@@ -140,7 +140,7 @@
 def measure_acknowledgement(delay: float, seed: int) -> dict:
     """Return the time that confirmation adds, by level, in milliseconds."""
     fleet = failover_fleet.Fleet(seed=seed, delay=delay)
-    fleet.run(WARM_SECONDS)
+    fleet.run(WARM_UP_SECONDS)
     fleet.confirmation_delays.clear()
     fleet.start_load(list(fleet.nodes), WRITE_INTERVAL_SECONDS, fleet.now + 8.0)
     fleet.run(fleet.now + 10.0)
@@ -151,25 +151,28 @@
             for found, seconds in fleet.confirmation_delays
             if found == level
         ]
-        cuts = statistics.quantiles(times, n=100)
-        figures[name] = {"p50_ms": round(cuts[49], 1), "p99_ms": round(cuts[98], 1)}
+        percentiles = statistics.quantiles(times, n=100)
+        figures[name] = {
+            "p50_ms": round(percentiles[49], 1),
+            "p99_ms": round(percentiles[98], 1),
+        }
     return figures
 
 
 def main() -> None:
     options = commands.parse_arguments(__doc__)
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     seeds = range(options.seed, options.seed + RUNS)
     faults = {}
     for fault in (*FAULTS, "planned"):
         faults[fault] = {
-            name: summarise([run_fault(fault, s, store_down=down) for s in seeds])
+            name: summarize([run_fault(fault, s, store_down=down) for s in seeds])
             for name, down in (("store_up", False), ("store_down", True))
         }
     baseline = {}
     for fault in ("killed", "paused"):
         runs = [run_fault(fault, seed, lease=True) for seed in seeds]
-        baseline[fault] = find_worst_gap(summarise(runs))
+        baseline[fault] = find_worst_gap(summarize(runs))
     cases = [case for by_store in faults.values() for case in by_store.values()]
     unplanned = [
         find_worst_gap(case)
@@ -200,7 +203,7 @@
             )
             == 0,
         },
-        "elapsed_seconds": round(time.perf_counter() - begun, 1),
+        "elapsed_seconds": round(time.perf_counter() - started_at, 1),
     }
     if not options.json:
         print(json.dumps(result, indent=2))
--- a/benchmarks/bench_failover_processes.py
+++ b/benchmarks/bench_failover_processes.py
@@ -18,7 +18,7 @@
 
 FAULTS = ("killed", "cut_off", "paused", "planned")
 WRITE_INTERVAL_SECONDS = 0.02
-WARM_SECONDS = 1.0
+WARM_UP_SECONDS = 1.0
 LOAD_SECONDS = 5.0
 BOUND_SECONDS = 17.0
 UNPLANNED_GOAL_SECONDS = 3.0
@@ -57,7 +57,7 @@
                 self.unknown.append(value)
 
 
-async def break_primary(fleet: processes.Fleet, fault: str, primary: str) -> None:
+async def inject_fault(fleet: processes.Fleet, fault: str, primary: str) -> None:
     """Apply a fault to the current primary."""
     if fault == "killed":
         fleet.endpoints[primary].kill()
@@ -88,10 +88,10 @@
         primary, _ = await find_values(fleet)
         writers = [Writer(fleet, host) for host in fleet.nodes]
         tasks = [asyncio.ensure_future(writer.run()) for writer in writers]
-        await asyncio.sleep(WARM_SECONDS)
+        await asyncio.sleep(WARM_UP_SECONDS)
         if not store_up:
             fleet.platform_processes[0].kill()
-        await break_primary(fleet, fault, primary)
+        await inject_fault(fleet, fault, primary)
         await asyncio.sleep(LOAD_SECONDS)
         for writer in writers:
             writer.stopping = True
--- a/benchmarks/bench_faults.py
+++ b/benchmarks/bench_faults.py
@@ -63,7 +63,7 @@
         return world.run_seed(options)
 
 
-def summarise(outcome: world.Outcome) -> dict:
+def summarize(outcome: world.Outcome) -> dict:
     requests = outcome.history.requests
     errors = collections.Counter(
         request.error.value for request in requests if request.error is not None
@@ -92,7 +92,7 @@
     for seed in list_seeds(options):
         outcome = run_one(seed, options)
         virtual_seconds += outcome.virtual_seconds
-        for name, value in summarise(outcome).items():
+        for name, value in summarize(outcome).items():
             if isinstance(value, dict):
                 totals.update({f"{name}.{key}": n for key, n in value.items()})
             else:
--- a/benchmarks/bench_flood.py
+++ b/benchmarks/bench_flood.py
@@ -44,7 +44,7 @@
     "normal": resources.RankSpec(order=1, floor=0.2, target_seconds=0.5),
     "background": resources.RankSpec(order=2, floor=0.1, target_seconds=1.0),
 }
-PATIENCE_SECONDS = {"urgent": 1.0, "normal": 2.0, "background": 5.0}
+TIMEOUT_SECONDS = {"urgent": 1.0, "normal": 2.0, "background": 5.0}
 KEYS = tuple(itertools.product(CAPACITY, RANKS))
 VIEW = views.PoolView(
     pool=POOL,
@@ -86,7 +86,7 @@
     "one_partner_floods_all_ranks": make_load(list(RANKS), 10.0, ("a",)),
     "one_partner_at_two_endpoints": make_load(list(RANKS), 10.0),
 }
-REACH = {"one_partner_at_two_endpoints": {"b": (0, 1)}}
+REACHABLE = {"one_partner_at_two_endpoints": {"b": (0, 1)}}
 """Endpoints that receive a partner's statements, by scenario; all if absent."""
 
 
@@ -208,7 +208,7 @@
 
 
 @attrs.define(kw_only=True)
-class Tally:
+class Totals:
     """Counts and times of one partner and rank after the warm-up."""
 
     offered: int = 0
@@ -225,14 +225,14 @@
     """One scenario with one design."""
 
     def __init__(self, scenario, design, seed):
-        self.load, self.reach = SCENARIOS[scenario], REACH.get(scenario, {})
+        self.load, self.reachable = SCENARIOS[scenario], REACHABLE.get(scenario, {})
         self.design = design
         # One random stream per partner and rank gives work that does not flood the
         # same arrivals in all scenarios, so ratios of scenarios have no such noise.
         self.streams = {key: random.Random(f"{seed}/{key}") for key in KEYS}
         self.events, self.order = [], itertools.count()
         self.now = 0.0
-        self.tallies = {key: Tally() for key in KEYS}
+        self.totals = {key: Totals() for key in KEYS}
         self.measured_at = 0.0
         self.busy_seconds = self.wait_seconds = 0.0
         self.pool_busy_seconds = self.pool_wait_seconds = 0.0
@@ -313,22 +313,22 @@
         self._push(self.now + stream.expovariate(rate), self._arrive, key)
         draw = stream.random() * ENTRY_BOUNDS[-1]
         entry = bisect.bisect(ENTRY_BOUNDS, draw)
-        endpoint = stream.choice(self.reach.get(partner, (0, 1, 2)))
+        endpoint = stream.choice(self.reachable.get(partner, (0, 1, 2)))
         # Drawn before any refusal, so that every design gets the same statements.
         length = stream.lognormvariate(-0.5, 1.0) * MEAN_SECONDS
-        tally = self.tallies[key]
-        tally.offered += self._measuring
-        tally.offered_seconds += length * self._measuring
+        counts = self.totals[key]
+        counts.offered += self._measuring
+        counts.offered_seconds += length * self._measuring
         if self.design == "ranked":
             board = self.boards[HOSTS[entry]]
             if limits.admit(board, POOL, partner, rank, self.now).is_err():
-                tally.refused_at_entry += self._measuring
+                counts.refused_at_entry += self._measuring
                 return
         item = work.Work(
             id=str(next(self.order)),
             partner=partner,
             rank=rank,
-            deadline=self.now + PATIENCE_SECONDS[rank],
+            deadline=self.now + TIMEOUT_SECONDS[rank],
             enqueued_at=self.now,
         )
         if self.design == "fixed_parts":
@@ -345,9 +345,9 @@
         shed = server.admit(item, self.now)
         for other in (item,) if shed is None else shed:
             self._refuse(other)
-        self._pump(number)
+        self._start_waiting(number)
 
-    def _pump(self, number):
+    def _start_waiting(self, number):
         server = self.servers[number]
         while (item := server.take(self.now)) is not None:
             self.busy[number] += 1
@@ -362,34 +362,34 @@
         self.servers[number].finish(item.id, self.now)
         del self.started[item.id]
         self._count_service(item, started_at, self.now)
-        tally = self.tallies[item.partner, item.rank]
+        counts = self.totals[item.partner, item.rank]
         queueing = started_at - item.enqueued_at
         delay = 0.0 if self.design == "fixed_parts" else ONE_WAY_SECONDS
         if arrived_at >= WARM_UP_SECONDS:
-            tally.queueing.append(queueing)
-            tally.latency.append(self.now + delay - arrived_at)
+            counts.queueing.append(queueing)
+            counts.latency.append(self.now + delay - arrived_at)
         self._answer(entry, item, False, queueing)
-        self._pump(number)
+        self._start_waiting(number)
 
     def _count_service(self, item, started_at, ended_at):
         seconds = ended_at - max(started_at, WARM_UP_SECONDS)
-        self.tallies[item.partner, item.rank].slot_seconds += max(0.0, seconds)
+        self.totals[item.partner, item.rank].slot_seconds += max(0.0, seconds)
 
     def _refuse(self, item, expired=False):
         entry, *_ = self.items.pop(item.id)
-        tally = self.tallies[item.partner, item.rank]
+        counts = self.totals[item.partner, item.rank]
         if expired:
-            tally.expired += self._measuring
+            counts.expired += self._measuring
         else:
-            tally.refused_at_queue += self._measuring
+            counts.refused_at_queue += self._measuring
         self._answer(entry, item, True, self.now - item.enqueued_at)
 
     def _answer(self, entry, item, refused, queueing):
         if self.design == "ranked":
             at = self.now + ONE_WAY_SECONDS
-            self._push(at, self._learn, entry, item, refused, queueing)
+            self._push(at, self._record_answer, entry, item, refused, queueing)
 
-    def _learn(self, entry, item, refused, queueing):
+    def _record_answer(self, entry, item, refused, queueing):
         board = self.boards[HOSTS[entry]]
         key = (POOL, item.partner, item.rank)
         limits.record_answer(board, *key, refused, queueing, self.now)
@@ -415,37 +415,37 @@
         base.receive(action.message, self.boards[action.host], sender, self.now)
 
 
-def percentile(values, part):
+def compute_percentile(values, part):
     ordered = sorted(values)
     return round(ordered[int(part * (len(ordered) - 1))], 4) if ordered else None
 
 
-def summarise(run):
+def summarize(run):
     """Return shares, latencies and counts of one run."""
-    tallies = run.tallies
-    total = sum(tally.slot_seconds for tally in tallies.values())
+    totals = run.totals
+    total = sum(counts.slot_seconds for counts in totals.values())
     slots = SLOTS * len(ENDPOINTS) * (RUN_SECONDS - WARM_UP_SECONDS)
     rows = {}
-    for (partner, rank), tally in tallies.items():
+    for (partner, rank), counts in totals.items():
         rows[f"{partner}/{rank}"] = {
-            "share": round(tally.slot_seconds / total, 4),
-            "offered_load": round(tally.offered_seconds / slots, 4),
-            "queueing_p50": percentile(tally.queueing, 0.5),
-            "queueing_p99": percentile(tally.queueing, 0.99),
-            "latency_p99": percentile(tally.latency, 0.99),
-            "offered": tally.offered,
-            "refused_at_entry": tally.refused_at_entry,
-            "refused_at_queue": tally.refused_at_queue,
-            "expired": tally.expired,
+            "share": round(counts.slot_seconds / total, 4),
+            "offered_load": round(counts.offered_seconds / slots, 4),
+            "queueing_p50": compute_percentile(counts.queueing, 0.5),
+            "queueing_p99": compute_percentile(counts.queueing, 0.99),
+            "latency_p99": compute_percentile(counts.latency, 0.99),
+            "offered": counts.offered,
+            "refused_at_entry": counts.refused_at_entry,
+            "refused_at_queue": counts.refused_at_queue,
+            "expired": counts.expired,
         }
     rank_shares, partner_shares = collections.Counter(), collections.Counter()
     urgent_queueing, urgent_latency = [], []
-    for (partner, rank), tally in tallies.items():
-        rank_shares[rank] += tally.slot_seconds / total
-        partner_shares[partner] += tally.slot_seconds / total
+    for (partner, rank), counts in totals.items():
+        rank_shares[rank] += counts.slot_seconds / total
+        partner_shares[partner] += counts.slot_seconds / total
         if rank == "urgent":
-            urgent_queueing += tally.queueing
-            urgent_latency += tally.latency
+            urgent_queueing += counts.queueing
+            urgent_latency += counts.latency
     bytes_sent = [
         board.counters.get("usage_bytes_sent", 0)
         + board.counters.get("billing_bytes_sent", 0)
@@ -455,19 +455,19 @@
         "work": rows,
         "rank_shares": {rank: round(rank_shares[rank], 4) for rank in RANKS},
         "partner_shares": {p: round(partner_shares[p], 4) for p in CAPACITY},
-        "urgent_queueing_p99": percentile(urgent_queueing, 0.99),
-        "urgent_latency_p99": percentile(urgent_latency, 0.99),
-        "busy_while_waiting": ratio(run.busy_seconds, run.wait_seconds),
-        "pool_busy_while_waiting": ratio(run.pool_busy_seconds, run.pool_wait_seconds),
+        "urgent_queueing_p99": compute_percentile(urgent_queueing, 0.99),
+        "urgent_latency_p99": compute_percentile(urgent_latency, 0.99),
+        "busy_while_waiting": divide(run.busy_seconds, run.wait_seconds),
+        "pool_busy_while_waiting": divide(run.pool_busy_seconds, run.pool_wait_seconds),
         "control_bytes_per_second_max": round(max(bytes_sent) / RUN_SECONDS),
     }
 
 
-def ratio(part, whole):
+def divide(part, whole):
     return round(part / whole, 4) if part is not None and whole else None
 
 
-def offered(run, number, name):
+def compute_offered_load(run, number, name):
     """Return the load that a partner (``number`` 0) or rank (1) offered in a run."""
     return sum(
         row["offered_load"]
@@ -476,7 +476,7 @@
     )
 
 
-def judge(runs):
+def evaluate_goals(runs):
     """Compare the runs of one design with the goals and list the misses.
 
     A floor or share is met if the service is at least the smaller of it and the
@@ -486,7 +486,7 @@
     flood, quiet = runs["background_flood"], runs["unloaded"]
     for name in ("queueing", "latency"):
         field = f"urgent_{name}_p99"
-        goals[f"urgent_{name}_p99_ratio"] = ratio(flood[field], quiet[field])
+        goals[f"urgent_{name}_p99_ratio"] = divide(flood[field], quiet[field])
     misses = [
         f"{name} is {goals[name]}; goal 1.5"
         for name in ("urgent_queueing_p99_ratio", "urgent_latency_p99_ratio")
@@ -496,12 +496,12 @@
         if scenario == "unloaded":
             continue
         for rank, spec in RANKS.items():
-            due = min(spec.floor, offered(run, 1, rank))
-            if run["rank_shares"][rank] < due - 0.01:
+            required = min(spec.floor, compute_offered_load(run, 1, rank))
+            if run["rank_shares"][rank] < required - 0.01:
                 misses.append(f"{scenario}: floor of {rank}")
         for partner, share in CAPACITY.items():
-            due = min(share, offered(run, 0, partner))
-            if run["partner_shares"][partner] < due - 0.02:
+            required = min(share, compute_offered_load(run, 0, partner))
+            if run["partner_shares"][partner] < required - 0.02:
                 misses.append(f"{scenario}: share of {partner}")
         if (run["busy_while_waiting"] or 1.0) < 0.97:
             misses.append(f"{scenario}: slots busy at a server")
@@ -519,12 +519,12 @@
         for scenario in scenarios:
             started_at = time.process_time()
             run = Simulation(scenario, design, arguments.seed).run()
-            runs[scenario] = summarise(run)
+            runs[scenario] = summarize(run)
             seconds = time.process_time() - started_at
             shown = {k: v for k, v in runs[scenario].items() if k != "work"}
             print(f"{design} {scenario} ({seconds:.1f} s): {shown}")
         report["designs"][design] = runs
-        report["goals"][design] = judge(runs)
+        report["goals"][design] = evaluate_goals(runs)
         print(f"{design}: {report['goals'][design]}")
     if arguments.json:
         print(json.dumps(report))
--- a/benchmarks/bench_membership.py
+++ b/benchmarks/bench_membership.py
@@ -36,14 +36,14 @@
 SETTLE_SECONDS = 5.0
 """Time after which pending suspicions have been refuted or confirmed."""
 
-WATCHED_SECONDS = 6.0
+OBSERVATION_SECONDS = 6.0
 """Observation time after a pause or, with 4 s added, after a crash."""
 
 CRASHES = {8: 20, 80: 6, 800: 1}
 """Number of fleets with two crashes each, by number of nodes."""
 
 PAUSES = (1.0, 5.0)
-PAUSED_PART = 0.02
+PAUSED_FRACTION = 0.02
 
 
 def list_times(fleet, event, name: str, since: float) -> list[float]:
@@ -69,7 +69,7 @@
     return counts
 
 
-def reset(fleet) -> None:
+def reset_counters(fleet) -> None:
     for member in fleet.members.values():
         member.bytes_sent = member.messages_sent = 0
         member.busy_seconds = 0.0
@@ -78,7 +78,7 @@
 
 def measure_cost(fleet, seconds: float) -> dict:
     """Return the mean messages, bytes and processor time of a node per second."""
-    reset(fleet)
+    reset_counters(fleet)
     fleet.run(seconds)
     members = [member for member in fleet.members.values() if member.up]
     scale = len(members) * seconds
@@ -118,12 +118,12 @@
     """Return how many paused and other hosts are suspected or declared dead."""
     figures = {}
     for seconds in PAUSES:
-        reset(fleet)
+        reset_counters(fleet)
         names = sorted(fleet.members)
-        paused = set(names[:: max(1, round(1 / PAUSED_PART))])
+        paused = set(names[:: max(1, round(1 / PAUSED_FRACTION))])
         for name in paused:
             fleet.pause(name, seconds)
-        fleet.run(WATCHED_SECONDS)
+        fleet.run(OBSERVATION_SECONDS)
         suspected = count_events(fleet, logs.LogEvent.HOST_SUSPECTED)
         dead = count_events(fleet, logs.LogEvent.HOST_DEAD)
         figures[f"{seconds:g}s"] = {
@@ -140,12 +140,12 @@
     """Return the times until the first node and until all nodes know of a crash."""
     first, every = [], []
     for fleet in fleets_to_crash:
-        reset(fleet)
+        reset_counters(fleet)
         since = fleet.now
         names = ("h0003", "h0005")
         for name in names:
             fleet.stop(name)
-        fleet.run(WATCHED_SECONDS + 4.0)
+        fleet.run(OBSERVATION_SECONDS + 4.0)
         for name in names:
             times = list_times(fleet, logs.LogEvent.HOST_DEAD, name, since)
             first.extend(times[:1])
@@ -179,7 +179,7 @@
     }
 
 
-def fit(figures: dict, name: str) -> dict:
+def fit_cost(figures: dict, name: str) -> dict:
     """Fit a line to a steady-state cost over the number of nodes."""
     sizes = list(figures)
     values = [figures[nodes]["steady"][name] for nodes in sizes]
@@ -290,14 +290,14 @@
 
 
 def main() -> None:
-    values = commands.parse_arguments(__doc__)
+    options = commands.parse_arguments(__doc__)
     started = time.monotonic()
     # Warm up, because the first run of the code is slower.
     fleets.make_fleet(SIZES[0], seed=0).run(5.0)
     # Measured before the fleets, whose freed memory would hide that of the tables.
     target = measure_target()
-    figures = {nodes: run_size(nodes, values.seed) for nodes in SIZES}
-    if not values.json:
+    figures = {nodes: run_size(nodes, options.seed) for nodes in SIZES}
+    if not options.json:
         for nodes, rows in figures.items():
             for name, row in rows.items():
                 print(f"{nodes:4} {name:15} {row}")
@@ -307,9 +307,9 @@
         json.dumps(
             {
                 "bench": "membership",
-                "seed": values.seed,
+                "seed": options.seed,
                 "sizes": figures,
-                "fit": {name: fit(figures, name) for name in names},
+                "fit": {name: fit_cost(figures, name) for name in names},
                 "target": target,
                 "seconds": round(time.monotonic() - started, 1),
             }
--- a/benchmarks/bench_placement.py
+++ b/benchmarks/bench_placement.py
@@ -30,7 +30,7 @@
 SKEW = 0.9
 """Exponent of the popularity of endpoints (Zipf)."""
 
-MAXIMUM_UTILISATION = 0.7
+MAXIMUM_UTILIZATION = 0.7
 """Largest fraction of an endpoint's slots that its statements use."""
 
 SAMPLED_NODES = 32
@@ -43,7 +43,7 @@
     """Return statements per second by endpoint, skewed and bounded by the slots."""
     weights = [1 / (rank + 1) ** SKEW for rank in range(len(names))]
     rng.shuffle(weights)
-    bound = MAXIMUM_UTILISATION * SLOTS / SERVICE_SECONDS
+    bound = MAXIMUM_UTILIZATION * SLOTS / SERVICE_SECONDS
     scale = total / sum(weights)
     for _ in range(50):
         rates = [min(bound, weight * scale) for weight in weights]
@@ -78,7 +78,7 @@
     return names
 
 
-def place_plain(board, rates: dict) -> dict:
+def place_by_hash(board, rates: dict) -> dict:
     """Place each endpoint by rendezvous hashing alone."""
     return {
         endpoint: choices[0]
@@ -87,7 +87,7 @@
     }
 
 
-def place_bounded(board, rates: dict) -> dict:
+def place_by_bounded_hash(board, rates: dict) -> dict:
     """Place each endpoint by rendezvous hashing with bounded loads."""
     return {
         endpoint: host
@@ -96,7 +96,7 @@
     }
 
 
-def place_second(board, rates: dict) -> dict:
+def place_by_two_choices(board, rates: dict) -> dict:
     """Place at the less loaded of the first two choices, given all loads."""
     loads: dict[str, float] = {}
     placed = {}
@@ -108,7 +108,7 @@
     return placed
 
 
-def review(board, placed: dict, rates: dict, reviews: int) -> dict:
+def apply_reviews(board, placed: dict, rates: dict, reviews: int) -> dict:
     """Apply the moves that overloaded hosts make in a number of reviews."""
     placed = dict(placed)
     choices = {
@@ -116,7 +116,7 @@
         for table in board.placement_state.tables.values()
         for endpoint, row in table.choices.items()
     }
-    homes = dict(placed)
+    initial_hosts = dict(placed)
     refused: set[tuple[int, str]] = set()
     for number in range(reviews):
         owned: dict[str, dict[str, float]] = {}
@@ -129,15 +129,15 @@
             candidates = {
                 endpoint: load
                 for endpoint, load in owned[host].items()
-                if homes[endpoint] == host and (number, endpoint) not in refused
+                if initial_hosts[endpoint] == host and (number, endpoint) not in refused
             }
             endpoint = balancing.choose_endpoint(candidates, loads[host])
             if endpoint is None:
                 continue
             target = placement.get_next_host(choices[endpoint], host)
-            held = loads.get(target, 0.0) + accepted.get(target, 0.0)
+            target_load = loads.get(target, 0.0) + accepted.get(target, 0.0)
             load = candidates[endpoint]
-            if target != host and balancing.accepts(held, load, loads[host]):
+            if target != host and balancing.accepts(target_load, load, loads[host]):
                 accepted[target] = accepted.get(target, 0.0) + load
                 placed[endpoint] = target
             else:
@@ -195,7 +195,7 @@
     return round(moved / len(after), 3)
 
 
-def change(board, scenario: str, nodes: int, places: int) -> None:
+def apply_scenario(board, scenario: str, nodes: int, places: int) -> None:
     """Apply a scenario to the hosts and place all endpoints again."""
     if scenario == "doubled":
         for name, record in make_board(2 * nodes, places).hosts.items():
@@ -206,10 +206,10 @@
     placement.assign_all(board, 0.0)
 
 
-VARIANTS = {
-    "rendezvous": place_plain,
-    "bounded": place_bounded,
-    "second_choice": place_second,
+PLACEMENT_RULES = {
+    "rendezvous": place_by_hash,
+    "bounded": place_by_bounded_hash,
+    "second_choice": place_by_two_choices,
 }
 
 
@@ -225,14 +225,14 @@
         if scenario == "place_lost":
             board = make_board(nodes, places)
             add_endpoints(board, len(names), places)
-        change(board, scenario, nodes, places)
+        apply_scenario(board, scenario, nodes, places)
         rows = figures[scenario] = {}
-        for name, place in VARIANTS.items():
+        for name, place in PLACEMENT_RULES.items():
             placed = place(board, rates)
             rows[name] = measure(board, placed, rates, rng)
             rows[name]["moved"] = count_moved(steady.setdefault(name, placed), placed)
-        bounded = place_bounded(board, rates)
-        placed = review(board, bounded, rates, REVIEWS)
+        bounded = place_by_bounded_hash(board, rates)
+        placed = apply_reviews(board, bounded, rates, REVIEWS)
         rows["chosen"] = measure(board, placed, rates, rng)
         rows["chosen"]["moved"] = count_moved(
             steady.setdefault("chosen", placed), placed
@@ -240,7 +240,7 @@
     return figures
 
 
-def judge(figures: dict) -> dict:
+def compute_growth(figures: dict) -> dict:
     """Return the growth of the p99 slowdown after a place is lost, in percent."""
     growth = {}
     for nodes, scenarios in figures.items():
@@ -258,12 +258,12 @@
 
 
 def main() -> None:
-    values = commands.parse_arguments(__doc__)
+    options = commands.parse_arguments(__doc__)
     started = time.monotonic()
     figures = {
-        nodes: run_size(nodes, places, values.seed) for nodes, places in SIZES.items()
+        nodes: run_size(nodes, places, options.seed) for nodes, places in SIZES.items()
     }
-    if not values.json:
+    if not options.json:
         for nodes, scenarios in figures.items():
             for scenario, rows in scenarios.items():
                 for name, row in rows.items():
@@ -272,9 +272,9 @@
         json.dumps(
             {
                 "bench": "placement",
-                "seed": values.seed,
+                "seed": options.seed,
                 "sizes": figures,
-                "p99_growth_percent_place_lost": judge(figures),
+                "p99_growth_percent_place_lost": compute_growth(figures),
                 "seconds": round(time.monotonic() - started, 1),
             }
         )
--- a/benchmarks/bench_replica_reads.py
+++ b/benchmarks/bench_replica_reads.py
@@ -49,11 +49,11 @@
     """A fleet in which half of the callers of each kind only send reads."""
 
     def _make_caller(self, name: str, kind: callers.Kind) -> callers.Caller:
-        made = super()._make_caller(name, kind)
+        caller = super()._make_caller(name, kind)
         if not name.startswith("c") or int(name[1:]) % 2:
-            return made
+            return caller
         fields = ("name", "pool", "partner", "databases", "kind", "random", "around")
-        return Reader(**{field: getattr(made, field) for field in fields})
+        return Reader(**{field: getattr(caller, field) for field in fields})
 
 
 def run_lag(seed: int, lag: float, load_seconds: float = LOAD_SECONDS) -> dict:
@@ -129,9 +129,9 @@
 
 def main() -> None:
     """Run the benchmark."""
-    values = commands.parse_arguments(__doc__)
-    report = run(values.seed)
-    if not values.json:
+    options = commands.parse_arguments(__doc__)
+    report = run(options.seed)
+    if not options.json:
         for lag, row in report["lags"].items():
             print(f"lag {lag} s")
             for name, cell in row["reads"].items():
--- a/benchmarks/bench_throughput.py
+++ b/benchmarks/bench_throughput.py
@@ -25,7 +25,7 @@
 SESSIONS = 16
 RUN_SECONDS = 2.5
 TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
-PLACES = (processes.PLACES[1],) * 3
+ENDPOINT_PLACES = (processes.PLACES[1],) * 3
 CASES = ("read", "write_confirmed", "write_majority")
 TARGET_STATEMENTS = 1040.0
 """Statements per second at each node of the target size."""
@@ -49,15 +49,15 @@
             await step(number)
             latencies.append(time.perf_counter() - started)
 
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     await asyncio.gather(*(work(number) for number in range(SESSIONS)))
-    elapsed = time.perf_counter() - began
-    cuts = statistics.quantiles(latencies, n=100)
+    elapsed = time.perf_counter() - started_at
+    percentiles = statistics.quantiles(latencies, n=100)
     return {
         "count": len(latencies),
         "rate": len(latencies) / elapsed,
-        "p50_ms": 1000 * cuts[49],
-        "p99_ms": 1000 * cuts[98],
+        "p50_ms": 1000 * percentiles[49],
+        "p99_ms": 1000 * percentiles[98],
     }
 
 
@@ -122,7 +122,7 @@
         fleet = processes.Fleet(
             pathlib.Path(folder),
             service_seconds=0.0,
-            endpoint_places=PLACES,
+            endpoint_places=ENDPOINT_PLACES,
             behind_proxies=False,
         )
         async with fleet:
