--- a/benchmarks/bench_bad_hours.py
+++ b/benchmarks/bench_bad_hours.py
@@ -1,9 +1,9 @@
-"""What one node spends on control in the bad hours of the target size.
+"""Measures the control cost of one node at the target size in exceptional hours.
 
-The start of a node, a snapshot that it gives to another one, the work of a store
-watcher with the store up and down, the loss of a failure domain and of a region. Run
-it with ``python -m benchmarks.bench_bad_hours --seed N --json``; bench_control gives
-the ordinary day.
+Covers the start of a node, a snapshot that it serves to a starting node, the work of
+a store watcher with the store up and down, and the loss of a failure domain and of a
+region. Run it with ``python -m benchmarks.bench_bad_hours --seed N --json``;
+bench_control measures an ordinary day.
 """
 
 import gc
@@ -16,23 +16,23 @@
 
 
 def measure(fleet, windows: int, sockets) -> dict:
-    """Measure some windows of the length that bench_control uses."""
+    """Measure a number of consecutive windows of ``bench_control.WINDOW_SECONDS``."""
     seconds = windows * bench_control.WINDOW_SECONDS
     return bench_control.measure_window(fleet, seconds, sockets)
 
 
 def serve_snapshot(fleet) -> dict:
-    """Return what it costs to give the whole snapshot to a starting node."""
-    fleet.reset()
-    asker, after = fleet.names[0], ""
+    """Return the cost of serving the whole snapshot to a starting node."""
+    fleet.reset_costs()
+    requester, after = fleet.names[0], ""
     while True:
-        fleet.deliver(asker, snapshots.SnapshotRequest(after=after))
+        fleet.deliver(requester, snapshots.SnapshotRequest(after=after))
         fleet.run(0.0)
         names = [name for name in fleet.pools if name > after]
         after = names[: snapshots.PART_DOCUMENTS][-1]
         if after == fleet.pools[-1]:
             break
-    costs = fleet.reset()
+    costs = fleet.reset_costs()
     return {
         "processor_seconds": round(costs.seconds, 2),
         "sent_bytes": costs.sent_bytes,
@@ -41,23 +41,23 @@
 
 
 def run_outage(fleet, regions: bool, sockets) -> dict:
-    """Let a failure domain or a region fail and come back."""
+    """Measure the loss and the return of a failure domain or of a region."""
     index = 6 if regions else 5
-    # A place and a region that the node itself is not in.
+    # The second host is in neither the place nor the region of the node.
     column = fleet.rows[fleet.names[1]][index]
     names = [name for name in fleet.names if fleet.rows[name][index] == column]
-    fleet.fail(names)
+    fleet.fail_hosts(names)
     lost = measure(fleet, 1, sockets)
-    fleet.come_back(names)
+    fleet.rejoin_hosts(names)
     back = measure(fleet, 1, sockets)
     return {"hosts": len(names), "lost": lost, "back": back}
 
 
-def run_reader(fleet, sockets) -> dict:
-    """Return what the few readers of the store and of the host list spend."""
+def run_store_watcher(fleet, sockets) -> dict:
+    """Return the cost of the nodes that read the store and the host list."""
     board = fleet.board
     version = board.membership.version
-    names = (control_fleet.OWN, *fleet.names[:2])
+    names = (control_fleet.OWN_HOST, *fleet.names[:2])
     board.configuration.watchers = (version, names)
     watching = bench_control.measure_window(
         fleet, bench_control.WINDOW_SECONDS, sockets
@@ -80,7 +80,7 @@
 
 
 def measure_host_list(fleet) -> float:
-    """Return the processor time of one host list, in milliseconds."""
+    """Return the processor time to decode and handle a host list, in milliseconds."""
     rows = [
         {"name": row[0], "address": row[4], "place": row[5], "region": row[6]}
         for row in fleet.rows.values()
@@ -95,21 +95,21 @@
 
 
 def run(seed: int) -> dict:
-    """Run all bad hours on one node."""
-    began = time.perf_counter()
+    """Run all exceptional cases on one node."""
+    started_at = time.perf_counter()
     sockets = socket_costs.measure()
     fleet = control_fleet.ControlFleet(size=bench_control.TARGET, seed=seed)
     control_fleet.clear_caches()
     gc.collect()
     report = {"benchmark": "bad_hours", "seed": seed}
     report["start"] = bench_control.run_start(fleet, sockets)
-    bench_control.skip_learning(fleet)
+    bench_control.enter_steady_state(fleet)
     report["snapshot_served"] = serve_snapshot(fleet)
-    report["reader"] = run_reader(fleet, sockets)
+    report["reader"] = run_store_watcher(fleet, sockets)
     report["domain_lost"] = run_outage(fleet, False, sockets)
-    bench_control.skip_learning(fleet)
+    bench_control.enter_steady_state(fleet)
     report["region_cut_off"] = run_outage(fleet, True, sockets)
-    report["wall_seconds"] = round(time.perf_counter() - began, 1)
+    report["wall_seconds"] = round(time.perf_counter() - started_at, 1)
     return report
 
 
--- a/benchmarks/bench_config.py
+++ b/benchmarks/bench_config.py
@@ -1,4 +1,4 @@
-"""Time from accepted to in force, and store calls, as the fleet grows.
+"""Measures the time until an accepted change is in force, and store calls, by size.
 
 Real configuration controllers run in one process on a virtual clock over a
 simulated network (0.5 ms within a place, 12 ms between places) and a store
@@ -21,21 +21,21 @@
 GOAL_BYTES_PER_SECOND = 5000
 CHANGES_PER_DAY = 13_000
 POOL = "labelstore"
-ACCEPTING = "h005"
-CUT = "h006"
-CUT_SECONDS = 60.0
+ACCEPTING_HOST = "h005"
+ISOLATED_HOST = "h006"
+ISOLATION_SECONDS = 60.0
 IDLE_SECONDS = 5.0
 COARSE_TICK_SECONDS = 0.5
-"""Tick while a node is cut off; nothing there depends on a tick of 50 ms."""
+"""Tick while a node is isolated; nothing there depends on a tick of 50 ms."""
 
 STORE_SLOW_SECONDS = 1.5
 POLL_SECONDS = 1.0
 EXAMPLE = pathlib.Path(__file__).parents[1] / "examples" / "priehradka.yaml"
-DECLARED = declarations.parse_text(EXAMPLE.read_text())
+DECLARED_RESOURCES = declarations.parse_text(EXAMPLE.read_text())
 
 
 def start_fleet(size: int, seed: int) -> tuple[fleet.Fleet, dict]:
-    """Return a fleet with one pool in force, and the figures of its start."""
+    """Return a fleet with one pool in force, and the measurements of its start."""
     nodes = fleet.Fleet(size=size, seed=seed, encode=False)
     ready = nodes.run(30, nodes.ready)
     figures = {
@@ -43,29 +43,33 @@
         "seconds": round(nodes.now, 3),
         "store_calls": sum(nodes.store.calls.values()),
     }
-    request = requests.Apply(pool=POOL, change_id="first", resources=DECLARED)
+    request = requests.Apply(pool=POOL, change_id="first", resources=DECLARED_RESOURCES)
     nodes.request("h000", request)
     wait_in_force(nodes, 1)
     nodes.run(1)
     return nodes, figures
 
 
-def wait_in_force(nodes: fleet.Fleet, version: int, cut: tuple = ()) -> bool:
-    """Run until a version is in force on all live nodes but the cut ones."""
+def wait_in_force(nodes: fleet.Fleet, version: int, isolated: tuple = ()) -> bool:
+    """Run at most 15 s until all live, connected nodes have a version in force."""
     expected = {
         (host, member.board.identity.incarnation)
         for host, member in nodes.members.items()
-        if member.alive and host not in cut
+        if member.alive and host not in isolated
     }
     times = nodes.applied.setdefault((POOL, version), {})
     return nodes.run(15, lambda: len(times) >= len(expected) and expected <= set(times))
 
 
 def change_split(nodes: fleet.Fleet, version: int, share: float) -> str:
-    """Change the split through the accepting node."""
-    held = next(i for i in DECLARED if i.kind is resources.ResourceKind.SPLIT)
+    """Request a change of the split at the accepting node."""
+    declared = next(
+        i for i in DECLARED_RESOURCES if i.kind is resources.ResourceKind.SPLIT
+    )
     shares = {"priehradka": share, "steyrtal": 1 - share}
-    split = attrs.evolve(held, spec=resources.SplitSpec(capacity=shares, bill=shares))
+    split = attrs.evolve(
+        declared, spec=resources.SplitSpec(capacity=shares, bill=shares)
+    )
     request = requests.Apply(
         pool=POOL,
         change_id=f"change-{version}",
@@ -73,15 +77,15 @@
         base_version=version - 1,
         remaining_seconds=10.0,
     )
-    return nodes.request(ACCEPTING, request)
+    return nodes.request(ACCEPTING_HOST, request)
 
 
-def measure(nodes: fleet.Fleet, version: int, after_commit=None, cut=()) -> dict:
-    """Make a change and return its figures.
+def measure(nodes: fleet.Fleet, version: int, after_commit=None, isolated=()) -> dict:
+    """Make a change and return its measurements.
 
-    ``after_commit`` is called when the store holds the change. ``seconds``
-    counts from that moment. ``seconds_from_first_node`` counts from the moment
-    at which the first node learns of the commit, half the store's delay later.
+    ``after_commit`` is called when the store holds the change, which is also the
+    start of ``seconds``. ``seconds_from_first_node`` starts when the first node
+    learns of the commit, half the store's delay later.
     """
     calls = sum(nodes.store.calls.values())
     key = documents.key_of(POOL)
@@ -91,7 +95,7 @@
     accepted_at = nodes.now
     if after_commit is not None:
         after_commit(nodes)
-    in_force = wait_in_force(nodes, version, cut)
+    in_force = wait_in_force(nodes, version, isolated)
     first = min(nodes.applied[(POOL, version)].values(), default=nodes.now)
     return {
         "committed": committed,
@@ -103,61 +107,61 @@
 
 
 def stop_store(nodes: fleet.Fleet) -> None:
-    """Stop the store as soon as the accepting node has the answer."""
+    """Stop the store once the accepting node has the new version."""
     newest = max(nodes.versions(POOL).values())
-    nodes.run(1, lambda: nodes.versions(POOL)[ACCEPTING] > newest)
+    nodes.run(1, lambda: nodes.versions(POOL)[ACCEPTING_HOST] > newest)
     nodes.store.down = True
 
 
 def run_faults(nodes: fleet.Fleet) -> dict:
-    """Return the figures of one change under each fault."""
-    found = {"no_fault": measure(nodes, 2)}
+    """Measure one change under each fault."""
+    results = {"no_fault": measure(nodes, 2)}
     nodes.store.delay_seconds = STORE_SLOW_SECONDS
-    found["store_slow"] = measure(nodes, 3)
+    results["store_slow"] = measure(nodes, 3)
     nodes.store.delay_seconds = fleet.STORE_SECONDS
     nodes.run(1)
     nodes.store.lost_answers = 1
-    found["answer_lost"] = measure(nodes, 4)
-    found["store_down_after"] = measure(nodes, 5, stop_store)
+    results["answer_lost"] = measure(nodes, 4)
+    results["store_down_after"] = measure(nodes, 5, stop_store)
     nodes.store.down = False
     run_coarsely(nodes, 8)
-    found["accepting_node_dead"] = measure(
-        nodes, 6, lambda fleet: fleet.kill(ACCEPTING)
+    results["accepting_node_dead"] = measure(
+        nodes, 6, lambda fleet: fleet.kill(ACCEPTING_HOST)
     )
-    nodes.restart(ACCEPTING)
+    nodes.restart(ACCEPTING_HOST)
     nodes.run(5, nodes.ready)
-    found["node_cut_off"] = run_cut(nodes)
-    return found
+    results["node_cut_off"] = run_isolation(nodes)
+    return results
 
 
 def run_coarsely(nodes: fleet.Fleet, seconds: float) -> None:
-    """Run for a time in which nothing is measured, with fewer ticks."""
+    """Run with longer ticks for a time in which nothing is measured."""
     nodes.tick_seconds = COARSE_TICK_SECONDS
     nodes.run(seconds - COARSE_TICK_SECONDS)
     nodes.tick_seconds = fleet.TICK_SECONDS
     nodes.run(COARSE_TICK_SECONDS)
 
 
-def run_cut(nodes: fleet.Fleet) -> dict:
-    """Cut one node off for a minute, change the split, connect it again."""
-    nodes.members[CUT].cut = True
-    figures = measure(nodes, 7, cut=(CUT,))
-    run_coarsely(nodes, CUT_SECONDS)
-    held = nodes.versions(POOL)[CUT]
-    nodes.members[CUT].cut = False
+def run_isolation(nodes: fleet.Fleet) -> dict:
+    """Isolate a node, change the split, and reconnect the node after a minute."""
+    nodes.members[ISOLATED_HOST].cut = True
+    figures = measure(nodes, 7, isolated=(ISOLATED_HOST,))
+    run_coarsely(nodes, ISOLATION_SECONDS)
+    found = nodes.versions(POOL)[ISOLATED_HOST]
+    nodes.members[ISOLATED_HOST].cut = False
     start = nodes.now
     caught_up = wait_in_force(nodes, 7)
     return figures | {
-        "version_while_cut": held,
+        "version_while_cut": found,
         "caught_up": caught_up,
         "seconds_after_contact": round(nodes.now - start, 3),
     }
 
 
 def measure_bytes(nodes: fleet.Fleet, version: int) -> dict:
-    """Return bytes a second a node and store calls a second of the fleet.
+    """Return bytes per second and node, and store calls per second of the fleet.
 
-    Bytes sent and received are counted, without the headers of TCP.
+    Bytes sent and received are counted without TCP headers.
     """
     nodes.encode = True
     nodes.bytes.clear()
@@ -184,10 +188,10 @@
 
 
 def run_baseline(size: int, seed: int) -> dict:
-    """Return the figures of nodes that each poll the store once a second.
+    """Return the results of a baseline in which each node polls the store each second.
 
-    A node reads at a random phase and the answer takes the store's delay. One
-    change is in force everywhere after the last node's read.
+    A node reads at a random phase and the answer takes the store's delay. A change
+    is in force everywhere after the last node's read.
     """
     source = random.Random(seed)
     waits = [source.uniform(0, POLL_SECONDS) for _ in range(size)]
@@ -200,8 +204,8 @@
 
 
 def run_size(size: int, seed: int) -> dict:
-    """Return all figures for one number of nodes."""
-    began = time.perf_counter()
+    """Run all measurements for one number of nodes."""
+    started_at = time.perf_counter()
     nodes, start = start_fleet(size, seed)
     faults = run_faults(nodes)
     figures = {
@@ -211,11 +215,11 @@
         "reversions": nodes.reversions,
         "baseline_polling": run_baseline(size, seed),
     }
-    return figures | {"wall_seconds": round(time.perf_counter() - began, 1)}
+    return figures | {"wall_seconds": round(time.perf_counter() - started_at, 1)}
 
 
 def find_worst(by_size: dict, field: str) -> float:
-    """Return the longest time of any change, infinite if one did not arrive."""
+    """Return the longest time of a change, infinite if one is not in force."""
     return max(
         change[field] if change["in_force_everywhere"] else float("inf")
         for figures in by_size.values()
@@ -224,7 +228,7 @@
 
 
 def summarize(by_size: dict) -> dict:
-    """Compare the figures with the goals."""
+    """Compare the measurements with the goals."""
     worst = {
         field: find_worst(by_size, field)
         for field in ("seconds", "seconds_from_first_node")
--- a/benchmarks/bench_failover.py
+++ b/benchmarks/bench_failover.py
@@ -1,9 +1,9 @@
-"""Write gap of a change of primary, lost writes and cost of acknowledgement.
+"""Measures write gaps and lost writes of failovers, and the acknowledgement cost.
 
-Real nodes run on a virtual clock against pure instances, so the seconds are
-exact for the modelled delays and do not depend on the machine. The baseline
-replaces a primary only after its store lease of 10 s has lapsed, and not at all
-while the store is down.
+Real nodes run on a virtual clock against simulated instances, so times are exact for
+the modelled delays and do not depend on the machine. The baseline replaces a primary
+only after its store lease of 10 s has expired, and not at all while the store is
+down.
 """
 
 import contextlib
@@ -15,7 +15,7 @@
 from benchmarks import commands, failover_fleet
 from hyssopshelf.failover import observations, promotion
 
-WARM_SECONDS = 5.0
+WARM_UP_SECONDS = 5.0
 LOAD_SECONDS = 14.0
 FAULT_AFTER_SECONDS = 2.0
 PAUSE_SECONDS = 6.0
@@ -33,7 +33,7 @@
 FAULTS = ("killed", "cut_off", "partitioned", "paused", "slow", "promoter_killed")
 
 
-def break_primary(fleet, fault: str) -> None:
+def inject_fault(fleet, fault: str) -> None:
     """Apply a fault to the current primary."""
     primary = fleet.find_primary()
     place = fleet.places[primary]
@@ -52,7 +52,7 @@
 
 
 def kill_promoter(fleet, limit: float) -> None:
-    """Wait for a promoter that has fenced a majority, and kill it."""
+    """Kill the first node that has fenced a majority for a promotion."""
     first = len(fleet.logs)
     while fleet.now < limit:
         fleet.run(fleet.now + 0.01)
@@ -62,8 +62,8 @@
             return
 
 
-def start_change(fleet) -> None:
-    """Ask a random node for a planned change of primary."""
+def request_planned_change(fleet) -> None:
+    """Request a planned change of primary at a random node."""
     primary = fleet.find_primary()
     targets = [name for name in fleet.instances if name != primary]
     board = fleet.nodes[fleet.random.choice(list(fleet.nodes))].board
@@ -74,35 +74,35 @@
 def run_fault(
     fault: str, seed: int, *, store_down: bool = False, lease: bool = False
 ) -> dict:
-    """Run one fault under a steady load and return its figures."""
+    """Run one fault under a steady write load; return gaps and counts of writes."""
     fleet = failover_fleet.Fleet(seed=seed, delay=REGION_DELAY_SECONDS)
-    fleet.run(WARM_SECONDS + fleet.random.random())
+    fleet.run(WARM_UP_SECONDS + fleet.random.random())
     place = fleet.places[fleet.find_primary()]
-    # Callers behind a partition cannot be served, so they are not counted.
+    # Clients on the minority side cannot be served, so they send no writes.
     hosts = [
         host
         for host in fleet.nodes
         if fault != "partitioned" or fleet.places[host] != place
     ]
     start = fleet.now
-    fleet.load(hosts, WRITE_INTERVAL_SECONDS, start + LOAD_SECONDS)
+    fleet.start_load(hosts, WRITE_INTERVAL_SECONDS, start + LOAD_SECONDS)
     fleet.run(start + FAULT_AFTER_SECONDS)
     fleet.store.down = store_down
-    changes = len(fleet.promoted)
+    changes = len(fleet.promotions)
     if fault == "planned":
-        start_change(fleet)
+        request_planned_change(fleet)
     else:
-        break_primary(fleet, fault)
+        inject_fault(fleet, fault)
     if fault == "promoter_killed":
         kill_promoter(fleet, start + LOAD_SECONDS)
-    with wait_for_lease(seed) if lease else contextlib.nullcontext():
+    with apply_lease_baseline(seed) if lease else contextlib.nullcontext():
         fleet.run(start + LOAD_SECONDS + 6.0)
     writes = fleet.writes.values()
     end = start + LOAD_SECONDS
     return {
         "gap_majority_seconds": fleet.measure_gap("scan", start + 1.0, end),
         "gap_confirmed_seconds": fleet.measure_gap("label", start + 1.0, end),
-        "changes": len({term for _, term, _ in fleet.promoted[changes:]}),
+        "changes": len({term for _, term, _ in fleet.promotions[changes:]}),
         "acknowledged": sum(write.acknowledged for write in writes),
         "lost_majority": fleet.count_lost("scan"),
         "lost_confirmed": fleet.count_lost("label"),
@@ -112,8 +112,8 @@
 
 
 @contextlib.contextmanager
-def wait_for_lease(seed: int):
-    """Make promotions wait for the rest of a lease, as the baseline does."""
+def apply_lease_baseline(seed: int):
+    """Make promotions wait for the rest of a lease, as in the baseline."""
     lost, hold = observations.FAILURE_WINDOW_SECONDS, promotion.PROMOTION_DELAY_SECONDS
     renewed_before = random.Random(seed).uniform(0.0, LEASE_SECONDS / 3)
     observations.FAILURE_WINDOW_SECONDS = LEASE_SECONDS - renewed_before
@@ -127,8 +127,8 @@
         )
 
 
-def summarise(runs: list[dict]) -> dict:
-    """Return the worst gaps and the sums of the counts."""
+def summarize(runs: list[dict]) -> dict:
+    """Return the longest gaps and the sums of the counts."""
     summary = {key: sum(run[key] for run in runs) for key in runs[0]}
     for key in GAPS:
         summary[key] = round(max(run[key] for run in runs), 3)
@@ -136,39 +136,46 @@
 
 
 def find_worst_gap(case: dict) -> float:
-    """Return the longer gap of both levels."""
+    """Return the longer gap of the two acknowledgement levels, in seconds."""
     return max(case[key] for key in GAPS)
 
 
 def measure_acknowledgement(delay: float, seed: int) -> dict:
-    """Return the time that confirmation adds by level, in milliseconds."""
+    """Return the time that confirmation adds, by level, in milliseconds."""
     fleet = failover_fleet.Fleet(seed=seed, delay=delay)
-    fleet.run(WARM_SECONDS)
-    fleet.confirmed.clear()
-    fleet.load(list(fleet.nodes), WRITE_INTERVAL_SECONDS, fleet.now + 8.0)
+    fleet.run(WARM_UP_SECONDS)
+    fleet.confirmation_delays.clear()
+    fleet.start_load(list(fleet.nodes), WRITE_INTERVAL_SECONDS, fleet.now + 8.0)
     fleet.run(fleet.now + 10.0)
     figures = {}
     for level, name in (("log", "majority"), ("term", "confirmed")):
-        times = [1000 * seconds for found, seconds in fleet.confirmed if found == level]
-        cuts = statistics.quantiles(times, n=100)
-        figures[name] = {"p50_ms": round(cuts[49], 1), "p99_ms": round(cuts[98], 1)}
+        times = [
+            1000 * seconds
+            for found, seconds in fleet.confirmation_delays
+            if found == level
+        ]
+        percentiles = statistics.quantiles(times, n=100)
+        figures[name] = {
+            "p50_ms": round(percentiles[49], 1),
+            "p99_ms": round(percentiles[98], 1),
+        }
     return figures
 
 
 def main() -> None:
     options = commands.parse_arguments(__doc__)
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     seeds = range(options.seed, options.seed + RUNS)
     faults = {}
     for fault in (*FAULTS, "planned"):
         faults[fault] = {
-            name: summarise([run_fault(fault, s, store_down=down) for s in seeds])
+            name: summarize([run_fault(fault, s, store_down=down) for s in seeds])
             for name, down in (("store_up", False), ("store_down", True))
         }
     baseline = {}
     for fault in ("killed", "paused"):
         runs = [run_fault(fault, seed, lease=True) for seed in seeds]
-        baseline[fault] = find_worst_gap(summarise(runs))
+        baseline[fault] = find_worst_gap(summarize(runs))
     cases = [case for by_store in faults.values() for case in by_store.values()]
     unplanned = [
         find_worst_gap(case)
@@ -199,7 +206,7 @@
             )
             == 0,
         },
-        "elapsed_seconds": round(time.perf_counter() - begun, 1),
+        "elapsed_seconds": round(time.perf_counter() - started_at, 1),
     }
     if not options.json:
         print(json.dumps(result, indent=2))
--- a/benchmarks/bench_placement.py
+++ b/benchmarks/bench_placement.py
@@ -1,10 +1,10 @@
-"""Balance of placement and its effect on slow statements.
+"""Measures the load balance of placement rules and its effect on slow statements.
 
-Endpoints of skewed popularity are placed on nodes by several rules: steady,
-after the number of nodes doubled, and after the hosts of a place were lost. The
-resource is the node's processor. The slowdown of a statement is its time over
-the time without any queueing; its 99th percentile is taken over a sample of
-nodes that covers all loads.
+Endpoints of skewed popularity are placed on nodes by several rules: in the steady
+state, after the number of nodes doubled, and after all hosts of a place were lost.
+The contended resource is the node's processor. The slowdown of a statement is its
+latency divided by its latency without queueing; the 99th percentile is taken over a
+sample of nodes that covers all loads.
 
 Run ``python -m benchmarks.bench_placement --seed 1 --json``.
 """
@@ -21,7 +21,7 @@
 from hyssopshelf.membership import balancing, placement, records
 
 SIZES = {8: 3, 80: 6, 800: 14}
-"""Numbers of nodes with their numbers of places."""
+"""Number of places by number of nodes."""
 
 ENDPOINTS_PER_NODE = 5.2
 STATEMENTS_PER_NODE = 1040.0
@@ -30,20 +30,20 @@
 SKEW = 0.9
 """Exponent of the popularity of endpoints (Zipf)."""
 
-MAXIMUM_UTILISATION = 0.7
-"""Part of an endpoint's slots that its statements may take."""
+MAXIMUM_UTILIZATION = 0.7
+"""Largest fraction of an endpoint's slots that its statements use."""
 
 SAMPLED_NODES = 32
 SIMULATED_SECONDS = 1.5
 REVIEWS = 6
-"""Reviews of the load after a change; 60 s with the present period."""
+"""Load reviews after a change, equal to 60 s at the current review period."""
 
 
 def make_rates(names: list[str], total: float, rng: random.Random) -> dict:
-    """Return statements a second by endpoint, skewed and bounded by the slots."""
+    """Return statements per second by endpoint, skewed and bounded by the slots."""
     weights = [1 / (rank + 1) ** SKEW for rank in range(len(names))]
     rng.shuffle(weights)
-    bound = MAXIMUM_UTILISATION * SLOTS / SERVICE_SECONDS
+    bound = MAXIMUM_UTILIZATION * SLOTS / SERVICE_SECONDS
     scale = total / sum(weights)
     for _ in range(50):
         rates = [min(bound, weight * scale) for weight in weights]
@@ -78,8 +78,8 @@
     return names
 
 
-def place_plain(board, rates: dict) -> dict:
-    """Place by the hash alone."""
+def place_by_hash(board, rates: dict) -> dict:
+    """Place each endpoint by rendezvous hashing alone."""
     return {
         endpoint: choices[0]
         for table in board.placement_state.tables.values()
@@ -87,8 +87,8 @@
     }
 
 
-def place_bounded(board, rates: dict) -> dict:
-    """Place by the hash with bounded load."""
+def place_by_bounded_hash(board, rates: dict) -> dict:
+    """Place each endpoint by rendezvous hashing with bounded loads."""
     return {
         endpoint: host
         for table in board.placement_state.tables.values()
@@ -96,8 +96,8 @@
     }
 
 
-def place_second(board, rates: dict) -> dict:
-    """Place at the less loaded of two choices, with knowledge of all loads."""
+def place_by_two_choices(board, rates: dict) -> dict:
+    """Place at the less loaded of the first two choices, given all loads."""
     loads: dict[str, float] = {}
     placed = {}
     for table in board.placement_state.tables.values():
@@ -108,15 +108,15 @@
     return placed
 
 
-def review(board, placed: dict, rates: dict, reviews: int) -> dict:
-    """Apply the moves that busy hosts make in a number of reviews."""
+def apply_reviews(board, placed: dict, rates: dict, reviews: int) -> dict:
+    """Apply the moves that overloaded hosts make in a number of reviews."""
     placed = dict(placed)
     choices = {
         endpoint: row
         for table in board.placement_state.tables.values()
         for endpoint, row in table.choices.items()
     }
-    homes = dict(placed)
+    initial_hosts = dict(placed)
     refused: set[tuple[int, str]] = set()
     for number in range(reviews):
         owned: dict[str, dict[str, float]] = {}
@@ -129,15 +129,15 @@
             candidates = {
                 endpoint: load
                 for endpoint, load in owned[host].items()
-                if homes[endpoint] == host and (number, endpoint) not in refused
+                if initial_hosts[endpoint] == host and (number, endpoint) not in refused
             }
             endpoint = balancing.choose_endpoint(candidates, loads[host])
             if endpoint is None:
                 continue
             target = placement.get_next_host(choices[endpoint], host)
-            held = loads.get(target, 0.0) + accepted.get(target, 0.0)
+            target_load = loads.get(target, 0.0) + accepted.get(target, 0.0)
             load = candidates[endpoint]
-            if target != host and balancing.accepts(held, load, loads[host]):
+            if target != host and balancing.accepts(target_load, load, loads[host]):
                 accepted[target] = accepted.get(target, 0.0) + load
                 placed[endpoint] = target
             else:
@@ -146,7 +146,7 @@
 
 
 def simulate(rates: dict[str, float], rng: random.Random) -> list[float]:
-    """Return the slowdowns of the statements of one node."""
+    """Simulate the statements of one node and return their slowdowns."""
     names = list(rates)
     weights = [rates[name] for name in names]
     total = sum(weights)
@@ -169,7 +169,7 @@
 
 
 def measure(board, placed: dict, rates: dict, rng: random.Random) -> dict:
-    """Return the balance and the slowdown of a placement."""
+    """Return the imbalance and the 99th percentile of the slowdown."""
     live = [n for n, r in board.hosts.items() if records.is_usable(r, 0.0)]
     owned: dict[str, dict[str, float]] = {name: {} for name in live}
     for endpoint, host in placed.items():
@@ -190,13 +190,13 @@
 
 
 def count_moved(before: dict, after: dict) -> float:
-    """Return the part of the endpoints whose host changed."""
+    """Return the fraction of the endpoints whose host changed."""
     moved = sum(before[endpoint] != host for endpoint, host in after.items())
     return round(moved / len(after), 3)
 
 
-def change(board, scenario: str, nodes: int, places: int) -> None:
-    """Apply a scenario to the hosts."""
+def apply_scenario(board, scenario: str, nodes: int, places: int) -> None:
+    """Apply a scenario to the hosts and place all endpoints again."""
     if scenario == "doubled":
         for name, record in make_board(2 * nodes, places).hosts.items():
             board.hosts.setdefault(name, record)
@@ -206,15 +206,15 @@
     placement.assign_all(board, 0.0)
 
 
-VARIANTS = {
-    "rendezvous": place_plain,
-    "bounded": place_bounded,
-    "second_choice": place_second,
+PLACEMENT_RULES = {
+    "rendezvous": place_by_hash,
+    "bounded": place_by_bounded_hash,
+    "second_choice": place_by_two_choices,
 }
 
 
 def run_size(nodes: int, places: int, seed: int) -> dict:
-    """Return the figures of one number of nodes."""
+    """Run all scenarios and placement rules with one number of nodes."""
     rng = random.Random(f"{seed}/{nodes}")
     board = make_board(nodes, places)
     names = add_endpoints(board, round(nodes * ENDPOINTS_PER_NODE), places)
@@ -225,14 +225,14 @@
         if scenario == "place_lost":
             board = make_board(nodes, places)
             add_endpoints(board, len(names), places)
-        change(board, scenario, nodes, places)
+        apply_scenario(board, scenario, nodes, places)
         rows = figures[scenario] = {}
-        for name, place in VARIANTS.items():
+        for name, place in PLACEMENT_RULES.items():
             placed = place(board, rates)
             rows[name] = measure(board, placed, rates, rng)
             rows[name]["moved"] = count_moved(steady.setdefault(name, placed), placed)
-        bounded = place_bounded(board, rates)
-        placed = review(board, bounded, rates, REVIEWS)
+        bounded = place_by_bounded_hash(board, rates)
+        placed = apply_reviews(board, bounded, rates, REVIEWS)
         rows["chosen"] = measure(board, placed, rates, rng)
         rows["chosen"]["moved"] = count_moved(
             steady.setdefault("chosen", placed), placed
@@ -240,8 +240,8 @@
     return figures
 
 
-def judge(figures: dict) -> dict:
-    """Return by how much p99 grows after the loss of a place, in percent."""
+def compute_growth(figures: dict) -> dict:
+    """Return the growth of the p99 slowdown after a place is lost, in percent."""
     growth = {}
     for nodes, scenarios in figures.items():
         growth[nodes] = {
@@ -258,12 +258,12 @@
 
 
 def main() -> None:
-    values = commands.parse_arguments(__doc__)
+    options = commands.parse_arguments(__doc__)
     started = time.monotonic()
     figures = {
-        nodes: run_size(nodes, places, values.seed) for nodes, places in SIZES.items()
+        nodes: run_size(nodes, places, options.seed) for nodes, places in SIZES.items()
     }
-    if not values.json:
+    if not options.json:
         for nodes, scenarios in figures.items():
             for scenario, rows in scenarios.items():
                 for name, row in rows.items():
@@ -272,9 +272,9 @@
         json.dumps(
             {
                 "bench": "placement",
-                "seed": values.seed,
+                "seed": options.seed,
                 "sizes": figures,
-                "p99_growth_percent_place_lost": judge(figures),
+                "p99_growth_percent_place_lost": compute_growth(figures),
                 "seconds": round(time.monotonic() - started, 1),
             }
         )
--- a/benchmarks/control_fleet.py
+++ b/benchmarks/control_fleet.py
@@ -1,8 +1,8 @@
-"""One real node among light peers, endpoints and a store on a virtual clock.
+"""Simulates the control traffic of one real node on a virtual clock.
 
-The node is the whole core. Its peers only answer: they are no nodes, but they
-use the same message classes. What the node starts towards a random peer, some
-peer starts towards the node, because all nodes do the same work.
+The node runs the whole core; its peers are models that answer with real messages.
+For each exchange that the node starts with a random peer, a peer starts one with
+the node, because all nodes do the same work.
 """
 
 import functools
@@ -29,12 +29,12 @@
 from hyssopshelf.scheduling import accounts, billing, queues, shares
 from hyssopshelf.statements import polling
 
-OWN = "own"
+OWN_HOST = "own"
 PLACES = 14
 REGIONS = 5
 POOL_DATABASES = 3
 PEER_SECONDS = 0.01
-"""Time from a message to its answer; the longest is 25 ms."""
+"""Time between a message of the node and the answer; at most 25 ms in a fleet."""
 
 ENDPOINT_SECONDS = 0.001
 STORE_SECONDS = 0.003
@@ -45,18 +45,18 @@
 
 @attrs.frozen(kw_only=True)
 class Size:
-    """What a node has to control.
+    """The size of the fleet and of its configuration.
 
     Attributes
     ----------
     hosts, databases : int
         Size of the fleet and of the configuration.
     served, watched : int
-        Endpoints that the node serves and databases that it watches.
+        Number of endpoints that the node serves and of databases that it watches.
     alone : bool
-        The node is the only host of its place, so that it serves exactly
-        ``served`` endpoints. Otherwise its place is like all others and
-        placement decides.
+        Whether the node is the only host of its place, so that it serves exactly
+        ``served`` endpoints. Otherwise other hosts share its place, and placement
+        decides.
     """
 
     hosts: int
@@ -68,10 +68,10 @@
 
 @attrs.define(kw_only=True)
 class Costs:
-    """What the node spent since the counters were reset.
+    """Resources that the node used since the counters were reset.
 
-    ``seconds`` is processor time of the core and of the codec; the sockets are
-    measured on their own and added by the benchmark.
+    ``seconds`` is processor time of core and codec, ``longest`` that of the slowest
+    event. The benchmark adds the cost of sockets, which socket_costs measures.
     """
 
     seconds: float = 0.0
@@ -87,7 +87,7 @@
 
 
 def clear_caches() -> None:
-    """Empty the caches of hashes, so that memory is counted from the start."""
+    """Empty the caches of hashes, so that their memory counts for the next node."""
     for cached in (
         rendezvous.hash_text,
         gossip.get_bucket,
@@ -97,7 +97,7 @@
 
 
 def make_rows(count: int) -> dict[str, gossip.Row]:
-    """Return the rows of all hosts but the node's own."""
+    """Return the membership rows of all hosts except the node's own, by name."""
     rows = {}
     for number in range(count - 1):
         name = f"h{number:04}"
@@ -111,18 +111,18 @@
 def make_documents(size: Size, names: list[str]) -> dict[str, resources.Document]:
     """Return the documents of all pools.
 
-    Exactly ``size.watched`` databases have a name for which the node is a
-    watcher. One endpoint of ``size.served`` databases is at the place of the
-    node if that is its only host.
+    The node is a watcher of exactly ``size.watched`` databases; names are tried until
+    they fit. If the node is the only host of its place, ``size.served`` databases have
+    an endpoint in that place.
     """
-    ring = watchers.Ring([*names, OWN])
+    ring = watchers.Ring([*names, OWN_HOST])
     number = watched = 0
     databases: list[tuple[str, str]] = []
     while len(databases) < size.databases:
         pool = f"pool{len(databases) // POOL_DATABASES:04}"
         name = f"d{number}"
         number += 1
-        is_watched = OWN in ring.compute_order(f"{pool}/{name}")
+        is_watched = OWN_HOST in ring.compute_order(f"{pool}/{name}")
         if is_watched != (watched < size.watched):
             continue
         watched += is_watched
@@ -134,10 +134,10 @@
     return {pool: _make_document(pool, specs) for pool, specs in by_pool.items()}
 
 
-def _make_database(name: str, index: int, own: bool) -> resources.DatabaseSpec:
+def _make_database(name: str, index: int, at_own_place: bool) -> resources.DatabaseSpec:
     places = [f"p{(index + offset) % PLACES}" for offset in (0, 4, 9)]
-    if own:
-        places[0] = OWN
+    if at_own_place:
+        places[0] = OWN_HOST
     return resources.DatabaseSpec(
         name=name,
         endpoints=tuple(
@@ -152,7 +152,7 @@
 
 
 def _make_document(pool: str, databases: list) -> resources.Document:
-    even = dict.fromkeys(PARTNERS, 0.5)
+    equal = dict.fromkeys(PARTNERS, 0.5)
     kinds = tuple(
         resources.KindSpec(name=f"{rank}-work", rank=rank, staleness_seconds=5.0)
         for rank in RANKS
@@ -174,7 +174,7 @@
             (kind.RANK, name, resources.RankSpec(order=order, floor=0.1))
             for order, name in enumerate(RANKS)
         ),
-        (kind.SPLIT, pool, resources.SplitSpec(capacity=even, bill=even)),
+        (kind.SPLIT, pool, resources.SplitSpec(capacity=equal, bill=equal)),
     ]
     return resources.Document(
         pool=pool,
@@ -189,8 +189,8 @@
     )
 
 
-def pack(document: resources.Document) -> tuple[versions.Summary, bytes]:
-    """Return the summary and the compressed form of a document."""
+def compress(document: resources.Document) -> tuple[versions.Summary, bytes]:
+    """Return the summary of a document and its compressed encoding."""
     text = declarations.encode_document(document)
     summary = versions.Summary(
         version=document.version,
@@ -201,12 +201,12 @@
 
 
 class ControlFleet:
-    """The node under measurement and what is around it.
+    """The node under measurement and the models of its environment.
 
     Parameters
     ----------
     size : Size
-        What the node has to control.
+        Size of the fleet and of its configuration.
     seed : int
         Seed of the node and of the peers.
     """
@@ -217,12 +217,12 @@
         self.rows = make_rows(size.hosts)
         self.names = list(self.rows)
         self.documents = make_documents(size, self.names)
-        self.packed = {pool: pack(d) for pool, d in self.documents.items()}
-        self.pools = sorted(self.packed)
+        self.compressed = {pool: compress(d) for pool, d in self.documents.items()}
+        self.pools = sorted(self.compressed)
         identity = blackboard.Identity(
-            host=OWN,
+            host=OWN_HOST,
             address="10.99.0.1:7100",
-            place=OWN if size.alone else "p0",
+            place=OWN_HOST if size.alone else "p0",
             region="r0",
             incarnation=1,
         )
@@ -245,7 +245,7 @@
         heapq.heappush(self._heap, (at, self._count, function, arguments))
 
     def run(self, seconds: float) -> None:
-        """Advance the clock."""
+        """Advance the virtual clock and make the calls that fall due."""
         until = self.now + seconds
         while self._heap and self._heap[0][0] <= until:
             self.now, _, function, arguments = heapq.heappop(self._heap)
@@ -253,13 +253,13 @@
         self.now = until
 
     def start(self, limit_seconds: float = 120.0) -> float:
-        """Run until the node is ready and has placed all endpoints."""
+        """Run until the node is ready and has placed all endpoints, or the limit."""
         while self.now < limit_seconds and not self.is_settled():
             self.run(0.5)
         return self.now
 
     def is_settled(self) -> bool:
-        """Return whether configuration and placement are complete."""
+        """Return whether the configuration is ready and all endpoints are placed."""
         tables = self.board.placement_state.tables.values()
         return (
             self.board.configuration_ready
@@ -268,12 +268,11 @@
         )
 
     def serve_statements(self) -> None:
-        """Create the queues and accounts that statements leave at the node.
+        """Create the queues and accounts that a node has under load.
 
-        No statement runs. Slot time is added and the status of the served
-        endpoints is renewed four times a second, so that usage, billing and
-        polls are as under load: at the target size each endpoint answers 200
-        statements a second.
+        No statement runs. Four times a second, slot time is added and the status of
+        the served endpoints is renewed, so that usage reports, billing and polls are
+        as under load: 200 statements a second at each endpoint at the target size.
         """
         for name in sorted(self.board.placement_state.served_endpoints):
             pool = self.board.endpoints[name].pool
@@ -282,13 +281,13 @@
             )
         self.schedule(self.now, self._add_slot_time)
 
-    def reset(self) -> Costs:
-        """Start new counters and return the old ones."""
+    def reset_costs(self) -> Costs:
+        """Reset the counters and return their previous values."""
         costs, self.costs = self.costs, Costs()
         return costs
 
     def deliver(self, host: str, message: object, seconds: float = 0.0) -> None:
-        """Send a message of a peer to the node."""
+        """Deliver an encoded message from a peer to the node after a delay."""
         envelope = messages.Envelope(
             host=host, address=self.rows[host][4], message=message
         )
@@ -296,7 +295,7 @@
         self.schedule(self.now + seconds, self._receive, data)
 
     def handle(self, event: base.Event) -> None:
-        """Pass an event to the node and carry out its actions."""
+        """Let the node handle an event, then carry out the actions it returns."""
         started = time.process_time()
         actions = self.node.handle(event, self.now)
         elapsed = time.process_time() - started
@@ -334,65 +333,65 @@
                 polling.store_status(self.board, name, status, self.now)
         self.schedule(self.now + 0.25, self._add_slot_time)
 
-    def choose_host(self) -> str:
+    def choose_peer(self) -> str:
         """Return a random peer."""
         return self.random.choice(self.names)
 
     def change_document(self, pool: str) -> None:
-        """Commit a new version of a pool's document; a peer offers it."""
-        held = self.documents[pool]
+        """Create a new version of a pool's document and let a peer offer it."""
+        previous = self.documents[pool]
         changed = attrs.evolve(
-            held,
-            version=held.version + 1,
-            change_ids=(*held.change_ids, f"change-{held.version + 1}")[-64:],
+            previous,
+            version=previous.version + 1,
+            change_ids=(*previous.change_ids, f"change-{previous.version + 1}")[-64:],
         )
         self.documents[pool] = changed
-        self.packed[pool] = pack(changed)
-        offer = dissemination.Offer(summaries=(self.packed[pool][0],), fresh=True)
-        self.deliver(self.choose_host(), offer)
+        self.compressed[pool] = compress(changed)
+        offer = dissemination.Offer(summaries=(self.compressed[pool][0],), fresh=True)
+        self.deliver(self.choose_peer(), offer)
 
-    def tell(self, rows: list[gossip.Row]) -> None:
-        """Pass rows to the node in messages of a few peers."""
+    def send_rows(self, rows: list[gossip.Row]) -> None:
+        """Deliver each part of the rows to the node in messages of two random peers."""
         for start in range(0, len(rows), gossip.MAXIMUM_ROWS):
             part = tuple(rows[start : start + gossip.MAXIMUM_ROWS])
             for _ in range(2):
-                host = self.choose_host()
+                host = self.choose_peer()
                 message = protocol.News(sender=self.rows[host], rows=part)
                 delay = self.random.uniform(0.0, 1.0)
                 self.deliver(host, message, delay)
 
-    def fail(self, names: list[str]) -> None:
-        """Let hosts die without notice: suspicion first, death 3 s later."""
-        self.tell([_make_short_row(self.rows[name], gossip.SUSPECT) for name in names])
+    def fail_hosts(self, names: list[str]) -> None:
+        """Crash hosts: peers report a suspicion, and 3 s later the death."""
+        self.send_rows([_trim_row(self.rows[name], gossip.SUSPECT) for name in names])
         self.schedule(self.now + 3.0, self._declare_dead, names)
 
     def _declare_dead(self, names: list[str]) -> None:
-        self.tell([_make_short_row(self.rows[name], gossip.DEAD) for name in names])
+        self.send_rows([_trim_row(self.rows[name], gossip.DEAD) for name in names])
 
-    def come_back(self, names: list[str]) -> None:
-        """Start hosts anew with a higher incarnation."""
+    def rejoin_hosts(self, names: list[str]) -> None:
+        """Start crashed hosts again with a higher incarnation."""
         for name in names:
             row = self.rows[name]
             self.rows[name] = (name, row[1] + 1, 0, gossip.ALIVE, *row[4:])
-        self.tell([self.rows[name] for name in names])
+        self.send_rows([self.rows[name] for name in names])
 
     def restart_host(self) -> None:
-        """Drain a host, and start it anew 10 s later."""
-        name = self.choose_host()
+        """Drain a random host and start it again 10 s later."""
+        name = self.choose_peer()
         row = self.rows[name]
         self.rows[name] = (name, row[1], row[2] + 1, gossip.LEAVING, *row[4:])
-        self.tell([self.rows[name]])
+        self.send_rows([self.rows[name]])
         self.schedule(self.now + 4.0, self._declare_dead, [name])
-        self.schedule(self.now + 10.0, self.come_back, [name])
+        self.schedule(self.now + 10.0, self.rejoin_hosts, [name])
 
 
-def _make_short_row(row: gossip.Row, code: int) -> gossip.Row:
+def _trim_row(row: gossip.Row, code: int) -> gossip.Row:
     return (row[0], row[1], row[2], code, "", "", "", ())
 
 
 @functools.singledispatch
 def carry_out(action, fleet: ControlFleet) -> None:
-    """Carry out an action of the node; logs and connections cost nothing here."""
+    """Carry out an action of the node; actions without a handler are ignored."""
 
 
 @carry_out.register
@@ -439,7 +438,7 @@
 
 
 def run_operation(operation, fleet: ControlFleet) -> tuple[result.Result, float]:
-    """Return the store's answer and the time that it takes."""
+    """Return the store's answer and its delay in seconds."""
     if fleet.store_down:
         return result.Err("the store is down"), STORE_SECONDS
     if isinstance(operation, platform.Watch):
@@ -450,7 +449,7 @@
             platform.Entry(
                 key=documents.key_of(pool), value=zlib.decompress(data), revision=1
             )
-            for pool, (_, data) in fleet.packed.items()
+            for pool, (_, data) in fleet.compressed.items()
         )
         return result.Ok(entries), STORE_SECONDS
     if isinstance(operation, platform.CompareAndSwap):
@@ -462,7 +461,7 @@
 
 
 def make_status(endpoint: str, primary: str) -> messages.EndpointStatus:
-    """Return the status of an endpoint of a healthy database."""
+    """Return the status of an endpoint of a database without faults."""
     role = messages.Role.PRIMARY if endpoint == primary else messages.Role.REPLICA
     return messages.EndpointStatus(
         name=endpoint,
@@ -480,7 +479,7 @@
 
 @functools.lru_cache(maxsize=1)
 def measure_probe_bytes(endpoint: str, probe_id: str) -> int:
-    """Return the bytes of a status call; names differ by a few bytes only."""
+    """Return the bytes of a status call; cached, as names hardly differ in size."""
     status = make_status(endpoint, endpoint)
     call = messages.to_json(wire.ControlFrame(id=probe_id))
     reply = messages.to_json(
@@ -491,7 +490,7 @@
 
 @functools.singledispatch
 def answer(message, fleet: ControlFleet, host: str) -> None:
-    """Answer a message that the node sent to a peer."""
+    """Answer a message from the node as a peer; other messages get no answer."""
 
 
 @answer.register
@@ -516,7 +515,7 @@
             digests=digests,
         )
         fleet.deliver(host, reply, PEER_SECONDS)
-    other = fleet.choose_host()
+    other = fleet.choose_peer()
     probe = protocol.ProbeHost(
         sequence=1, sender=fleet.rows[other], rows=message.rows, digests=digests
     )
@@ -525,7 +524,7 @@
 
 @answer.register
 def _(message: protocol.News, fleet: ControlFleet, host: str) -> None:
-    other = fleet.choose_host()
+    other = fleet.choose_peer()
     news = protocol.News(sender=fleet.rows[other], rows=message.rows)
     fleet.deliver(other, news, PEER_SECONDS)
 
@@ -538,7 +537,7 @@
     pools = fleet.pools[first : first + snapshots.PART_DOCUMENTS]
     entries = tuple(
         snapshots.SnapshotEntry(summary=summary, data=data)
-        for summary, data in map(fleet.packed.__getitem__, pools)
+        for summary, data in map(fleet.compressed.__getitem__, pools)
     )
     part = snapshots.SnapshotPart(
         after=message.after,
@@ -555,13 +554,13 @@
     if fleet.board.configuration_ready:
         root = fleet.board.configuration.table.root
         digest = dissemination.Digest(root=root)
-        fleet.deliver(fleet.choose_host(), digest, fleet.random.uniform(0.0, 0.5))
+        fleet.deliver(fleet.choose_peer(), digest, fleet.random.uniform(0.0, 0.5))
 
 
 @answer.register
 def _(message: dissemination.Offer, fleet: ControlFleet, host: str) -> None:
-    fleet.deliver(fleet.choose_host(), message, PEER_SECONDS)
-    # Every node pulls a document once, so one of the offers of a node is taken.
+    fleet.deliver(fleet.choose_peer(), message, PEER_SECONDS)
+    # A node pulls each document once, so on average one of its offers is answered.
     offers = dissemination.OFFERS_PER_ROUND * dissemination.OFFER_ROUNDS
     for summary in message.summaries:
         if fleet.random.random() < 1.0 / offers:
@@ -571,7 +570,7 @@
 
 @answer.register
 def _(message: dissemination.PullRequest, fleet: ControlFleet, host: str) -> None:
-    summary, data = fleet.packed[message.pool]
+    summary, data = fleet.compressed[message.pool]
     part = dissemination.Part(
         summary=summary, offset=message.offset, total=len(data), data=data
     )
@@ -585,7 +584,7 @@
 
 @answer.register
 def _(message: accounts.AccountCopy, fleet: ControlFleet, host: str) -> None:
-    # The accounts that the node keeps for others are of other pools.
+    # The node stores the account copies of other hosts, which are of other pools.
     index = fleet.pools.index(message.pool) + fleet.names.index(host) + 1
     pool = fleet.pools[index % len(fleet.pools)]
     copy = attrs.evolve(message, pool=pool, host=host)
--- a/benchmarks/fitting.py
+++ b/benchmarks/fitting.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points."""
+"""Fits straight lines to measured points."""
 
 from collections.abc import Sequence
 
@@ -7,29 +7,29 @@
 
 @attrs.frozen(kw_only=True)
 class Line:
-    """A line fitted by least squares.
+    """A straight line fitted by least squares, with the quality of the fit.
 
     Attributes
     ----------
     slope, intercept : float
         Coefficients of the line.
     largest_deviation : float
-        Largest distance of a point from the line, as a part of the largest
-        value; 0 if all values are 0.
+        Largest absolute residual, as a fraction of the largest absolute value; 0 if
+        all values are 0.
     points : int
-        Number of points.
-    last : float
-        Largest argument that was measured.
+        Number of fitted points.
+    largest_argument : float
+        Largest fitted argument; the line is an extrapolation beyond it.
     """
 
     slope: float
     intercept: float
     largest_deviation: float
     points: int
-    last: float
+    largest_argument: float
 
     def extrapolate(self, argument: float) -> float:
-        """Return the value of the line at an argument."""
+        """Return the value of the line at any argument."""
         return self.intercept + self.slope * argument
 
 
@@ -39,23 +39,25 @@
     Raises
     ------
     ValueError
-        If the arguments do not differ, because no slope follows from them.
+        If all arguments are equal, because the slope is undefined then.
     """
     count = len(arguments)
     mean_argument = sum(arguments) / count
     mean_value = sum(values) / count
-    spread = sum((argument - mean_argument) ** 2 for argument in arguments)
-    if spread == 0.0:
+    sum_of_squares = sum((argument - mean_argument) ** 2 for argument in arguments)
+    if sum_of_squares == 0.0:
         raise ValueError("a line needs points with different arguments")
     pairs = list(zip(arguments, values, strict=True))
-    slope = sum((x - mean_argument) * (y - mean_value) for x, y in pairs) / spread
+    slope = (
+        sum((x - mean_argument) * (y - mean_value) for x, y in pairs) / sum_of_squares
+    )
     intercept = mean_value - slope * mean_argument
-    largest = max(abs(value) for value in values)
+    largest_value = max(abs(value) for value in values)
     deviation = max(abs(y - intercept - slope * x) for x, y in pairs)
     return Line(
         slope=slope,
         intercept=intercept,
-        largest_deviation=deviation / largest if largest else 0.0,
+        largest_deviation=deviation / largest_value if largest_value else 0.0,
         points=count,
-        last=max(arguments),
+        largest_argument=max(arguments),
     )
--- a/benchmarks/socket_costs.py
+++ b/benchmarks/socket_costs.py
@@ -1,7 +1,7 @@
-"""Processor time of the sockets and of the timer, measured on loopback.
+"""Measures the processor time of socket operations and of the timer on loopback.
 
-Messages are paced, because a node that spends its time on control sends a few
-dozen a second: each one then wakes the process up on its own.
+Operations are paced: a node sends only a few dozen control messages a second, so
+each one wakes the process up separately.
 """
 
 import asyncio
@@ -22,28 +22,28 @@
 from hyssopshelf.runtime import endpoints, peers, wire
 
 PACE_SECONDS = 0.002
-COUNT = 200
+CALLS_PER_ROUND = 200
 ROUNDS = 3
-"""The cheapest round counts, because the machine is shared."""
+"""The fastest round is reported, because other load on the machine adds time."""
 
 MESSAGE_BYTES = 250
-"""Mean size of the control messages of a node, see bench_control."""
+"""Mean size of a node's control messages as measured by bench_control."""
 
 ENDPOINT = "pool0000/d0/a"
 
 
 @attrs.frozen(kw_only=True)
 class SocketCosts:
-    """Processor seconds of one operation at the node.
+    """Processor time of one operation at the node, in seconds.
 
     Attributes
     ----------
     tick : float
-        Timer callback of the event loop without any work.
+        Timer callback of the event loop that does nothing.
     message : float
-        Sending or receiving one message: half of what both ends took.
+        Sending or receiving one message: half the cost of both ends together.
     probe : float
-        A status call with its JSON, only the client's end.
+        Status call with its JSON codec, only the client's end.
     """
 
     tick: float
@@ -52,12 +52,12 @@
 
 
 def measure() -> SocketCosts:
-    """Measure all costs."""
+    """Measure the cost of each operation in an event loop of its own."""
     return asyncio.run(_measure())
 
 
 async def _measure() -> SocketCosts:
-    tick = await _pace(lambda: None, time.process_time)
+    tick = await _measure_paced(lambda: None, time.process_time)
     message = await _measure_messages()
     probe = await _measure_probes()
     return SocketCosts(
@@ -67,25 +67,25 @@
     )
 
 
-async def _pace(function, clock) -> float:
-    """Call a function at a fixed pace; return the processor time of one call."""
-    return min([await _run_round(function, clock) for _ in range(ROUNDS)])
+async def _measure_paced(operation, clock) -> float:
+    """Call a function at a fixed pace and return the lowest mean cost of a call."""
+    return min([await _run_round(operation, clock) for _ in range(ROUNDS)])
 
 
-async def _run_round(function, clock) -> float:
-    timer = tornado.ioloop.PeriodicCallback(function, PACE_SECONDS * 1000)
+async def _run_round(operation, clock) -> float:
+    timer = tornado.ioloop.PeriodicCallback(operation, PACE_SECONDS * 1000)
     await asyncio.sleep(0.05)
     calls = 0
 
     def call() -> None:
         nonlocal calls
         calls += 1
-        function()
+        operation()
 
     timer.callback = call
     started = clock()
     timer.start()
-    while calls < COUNT:
+    while calls < CALLS_PER_ROUND:
         await asyncio.sleep(0.05)
     timer.stop()
     await asyncio.sleep(0.05)
@@ -112,17 +112,19 @@
     dialer.open()
     data = bytes(MESSAGE_BYTES)
     dialer.send("h", None, data)
-    cost = await _pace(lambda: dialer.send("h", None, data), time.process_time)
+    cost = await _measure_paced(lambda: dialer.send("h", None, data), time.process_time)
     loop.remove_reader(inbox.recv_fd)
     dialer.close()
     inbox.close()
-    if received < COUNT * ROUNDS:
-        raise RuntimeError(f"only {received} messages of {COUNT * ROUNDS} arrived")
+    if received < CALLS_PER_ROUND * ROUNDS:
+        raise RuntimeError(
+            f"only {received} of {CALLS_PER_ROUND * ROUNDS} messages arrived"
+        )
     return cost
 
 
 class _StatusHandler(tornado.websocket.WebSocketHandler):
-    """Answers every control call with the same status."""
+    """Answers every control call with the status of a healthy primary."""
 
     def on_message(self, message) -> None:
         frame = messages.from_json(message, wire.ControlFrame)
@@ -145,12 +147,14 @@
         emit=answers.append, find_address=lambda endpoint: f"127.0.0.1:{port}"
     )
     adapter.probe(ENDPOINT, "first")
-    cost = await _pace(lambda: adapter.probe(ENDPOINT, "own.1.1234"), time.thread_time)
+    cost = await _measure_paced(
+        lambda: adapter.probe(ENDPOINT, "own.1.1234"), time.thread_time
+    )
     adapter.close()
     stop.set()
     thread.join()
     answered = sum(event.status is not None for event in answers)
-    if answered < COUNT // 2:
+    if answered < CALLS_PER_ROUND // 2:
         raise RuntimeError(f"only {answered} probes were answered")
     return cost
 
