--- a/benchmarks/bench_bad_hours.py
+++ b/benchmarks/bench_bad_hours.py
@@ -11,7 +11,7 @@
 import time
 
 from benchmarks import bench_control, commands, control_fleet, socket_costs
-from hyssopshelf import base, messages, platform
+from hyssopshelf import base, kvstore, messages
 from hyssopshelf.configuration import snapshots
 
 
@@ -88,7 +88,7 @@
     text = json.dumps({"hosts": rows})
     started = time.process_time()
     entries = messages.structure(
-        json.loads(text)["hosts"], tuple[platform.HostEntry, ...]
+        json.loads(text)["hosts"], tuple[kvstore.HostEntry, ...]
     )
     fleet.handle(base.HostListReceived(hosts=entries))
     return round(1000 * (time.process_time() - started), 2)
--- a/benchmarks/control_fleet.py
+++ b/benchmarks/control_fleet.py
@@ -14,7 +14,7 @@
 import attrs
 import result
 
-from hyssopshelf import base, blackboard, messages, node, platform
+from hyssopshelf import base, blackboard, kvstore, messages, node
 from hyssopshelf.configuration import (
     declarations,
     dissemination,
@@ -442,22 +442,22 @@
     """Return the store's answer and the time that it takes."""
     if fleet.store_down:
         return result.Err("the store is down"), STORE_SECONDS
-    if isinstance(operation, platform.Watch):
-        changes = platform.Changes(entries=(), revision=operation.after_revision)
+    if isinstance(operation, kvstore.Watch):
+        changes = kvstore.Changes(entries=(), revision=operation.after_revision)
         return result.Ok(changes), operation.wait_seconds
-    if isinstance(operation, platform.ListPrefix):
+    if isinstance(operation, kvstore.ListPrefix):
         entries = tuple(
-            platform.Entry(
+            kvstore.Entry(
                 key=documents.key_of(pool), value=zlib.decompress(data), revision=1
             )
             for pool, (_, data) in fleet.packed.items()
         )
         return result.Ok(entries), STORE_SECONDS
-    if isinstance(operation, platform.CompareAndSwap):
-        entry = platform.Entry(
+    if isinstance(operation, kvstore.CompareAndSwap):
+        entry = kvstore.Entry(
             key=operation.key, value=operation.value, revision=operation.revision + 1
         )
-        return result.Ok(platform.Swapped(succeeded=True, current=entry)), STORE_SECONDS
+        return result.Ok(kvstore.Swapped(succeeded=True, current=entry)), STORE_SECONDS
     return result.Ok(None), STORE_SECONDS
 
 
--- a/benchmarks/failover_fleet.py
+++ b/benchmarks/failover_fleet.py
@@ -12,7 +12,7 @@
 import attrs
 from result import Err, Ok
 
-from hyssopshelf import base, blackboard, messages, node, platform
+from hyssopshelf import base, blackboard, kvstore, messages, node
 from hyssopshelf.configuration import application, resources
 from hyssopshelf.consistency import tokens
 from hyssopshelf.standins import database
@@ -91,7 +91,7 @@
 
     def __init__(self) -> None:
         self.down = False
-        self.entries: dict[str, tuple[platform.Entry, int]] = {}
+        self.entries: dict[str, tuple[kvstore.Entry, int]] = {}
         self.leases: dict[int, float] = {}
         self._numbers = itertools.count(1)
 
@@ -101,29 +101,29 @@
             if lease and self.leases.get(lease, 0.0) <= now:
                 del self.entries[key]
         match operation:
-            case platform.GrantLease():
+            case kvstore.GrantLease():
                 lease = next(self._numbers)
                 self.leases[lease] = now + operation.time_to_live_seconds
                 return Ok(lease)
-            case platform.RevokeLease():
+            case kvstore.RevokeLease():
                 self.leases.pop(operation.lease, None)
                 return Ok(None)
-            case platform.Get():
+            case kvstore.Get():
                 return Ok(self.entries.get(operation.key, (None, 0))[0])
-            case platform.CompareAndSwap():
+            case kvstore.CompareAndSwap():
                 return Ok(self._swap(operation))
         return Err("not supported")
 
-    def _swap(self, operation) -> platform.Swapped:
+    def _swap(self, operation) -> kvstore.Swapped:
         current = self.entries.get(operation.key, (None, 0))[0]
         revision = current.revision if current is not None else 0
         if revision != operation.revision:
-            return platform.Swapped(succeeded=False, current=current)
-        entry = platform.Entry(
+            return kvstore.Swapped(succeeded=False, current=current)
+        entry = kvstore.Entry(
             key=operation.key, value=operation.value, revision=next(self._numbers)
         )
         self.entries[operation.key] = (entry, operation.lease)
-        return platform.Swapped(succeeded=True, current=entry)
+        return kvstore.Swapped(succeeded=True, current=entry)
 
 
 class Fleet:
--- a/benchmarks/faults/nodes.py
+++ b/benchmarks/faults/nodes.py
@@ -7,7 +7,7 @@
 import attrs
 
 from benchmarks.faults import clocks, endpoints, histories, network, store
-from hyssopshelf import base, blackboard, messages, node, platform
+from hyssopshelf import base, blackboard, kvstore, messages, node
 from hyssopshelf.membership import hosts
 
 OPEN_SECONDS = 0.010
@@ -486,7 +486,7 @@
 def list_host_entries(nodes: dict[str, NodeProcess]) -> tuple:
     """Return the rows that the platform lists for the live nodes."""
     return tuple(
-        platform.HostEntry(
+        kvstore.HostEntry(
             name=process.host,
             address=process.host,
             place=process.place,
--- a/benchmarks/faults/store.py
+++ b/benchmarks/faults/store.py
@@ -7,7 +7,7 @@
 import result
 
 from benchmarks.faults import clocks, histories, network
-from hyssopshelf import platform
+from hyssopshelf import kvstore
 from hyssopshelf.configuration import declarations, resources
 
 NAME = "store"
@@ -46,7 +46,7 @@
     lost_rate: float = 0.0
     calls: int = 0
     revision: int = 0
-    entries: dict[str, platform.Entry] = attrs.field(factory=dict)
+    entries: dict[str, kvstore.Entry] = attrs.field(factory=dict)
     _leases: dict[int, float] = attrs.field(factory=dict)
     _bound: dict[str, int] = attrs.field(factory=dict)
     _watches: list = attrs.field(factory=list)
@@ -80,17 +80,17 @@
         self.loop.call_later(delay + CALL_SECONDS + self.slow_seconds, arrive)
         self.loop.call_later(wait, finish, result.Err("no answer in time"))
 
-    def write(self, key: str, value: bytes, lease: int = 0) -> platform.Entry:
+    def write(self, key: str, value: bytes, lease: int = 0) -> kvstore.Entry:
         """Write a key and wake the watches on it."""
         self.revision += 1
-        entry = platform.Entry(key=key, value=value, revision=self.revision)
+        entry = kvstore.Entry(key=key, value=value, revision=self.revision)
         self.entries[key] = entry
         self._bound[key] = lease
         self._record(key, value)
         waiting, self._watches = self._watches, []
         for prefix, after, reply in waiting:
             if key.startswith(prefix) and entry.revision > after:
-                reply(platform.Changes(entries=(entry,), revision=self.revision))
+                reply(kvstore.Changes(entries=(entry,), revision=self.revision))
             else:
                 self._watches.append((prefix, after, reply))
         return entry
@@ -120,35 +120,35 @@
 
     def _serve(self, operation, reply: Callable) -> None:
         self._expire()
-        if isinstance(operation, platform.Get):
+        if isinstance(operation, kvstore.Get):
             reply(self.entries.get(operation.key))
-        elif isinstance(operation, platform.ListPrefix):
+        elif isinstance(operation, kvstore.ListPrefix):
             reply(self._list(operation.prefix, 0))
-        elif isinstance(operation, platform.CompareAndSwap):
+        elif isinstance(operation, kvstore.CompareAndSwap):
             reply(self._swap(operation))
-        elif isinstance(operation, platform.GrantLease):
+        elif isinstance(operation, kvstore.GrantLease):
             lease = self.random.getrandbits(32) + 1
             self._leases[lease] = self.loop.now + operation.time_to_live_seconds
             reply(lease)
-        elif isinstance(operation, platform.RevokeLease):
+        elif isinstance(operation, kvstore.RevokeLease):
             self._leases.pop(operation.lease, None)
             self._expire()
             reply(None)
         else:
             self._watch(operation, reply)
 
-    def _swap(self, operation: platform.CompareAndSwap) -> platform.Swapped:
+    def _swap(self, operation: kvstore.CompareAndSwap) -> kvstore.Swapped:
         current = self.entries.get(operation.key)
         held = current.revision if current else 0
         if held != operation.revision:
-            return platform.Swapped(succeeded=False, current=current)
+            return kvstore.Swapped(succeeded=False, current=current)
         entry = self.write(operation.key, operation.value, operation.lease)
-        return platform.Swapped(succeeded=True, current=entry)
+        return kvstore.Swapped(succeeded=True, current=entry)
 
-    def _watch(self, operation: platform.Watch, reply: Callable) -> None:
+    def _watch(self, operation: kvstore.Watch, reply: Callable) -> None:
         changed = self._list(operation.prefix, operation.after_revision)
         if changed:
-            reply(platform.Changes(entries=changed, revision=self.revision))
+            reply(kvstore.Changes(entries=changed, revision=self.revision))
             return
         watch = (operation.prefix, operation.after_revision, reply)
         self._watches.append(watch)
@@ -156,11 +156,11 @@
         def end() -> None:
             if watch in self._watches:
                 self._watches.remove(watch)
-                reply(platform.Changes(entries=(), revision=self.revision))
+                reply(kvstore.Changes(entries=(), revision=self.revision))
 
         self.loop.call_later(operation.wait_seconds, end)
 
-    def _list(self, prefix: str, after: int) -> tuple[platform.Entry, ...]:
+    def _list(self, prefix: str, after: int) -> tuple[kvstore.Entry, ...]:
         return tuple(
             entry
             for entry in self.entries.values()
@@ -191,7 +191,7 @@
     lag_seconds: float = 3.0
     _versions: list[tuple[float, tuple]] = attrs.field(factory=list)
 
-    def publish(self, hosts: tuple[platform.HostEntry, ...]) -> None:
+    def publish(self, hosts: tuple[kvstore.HostEntry, ...]) -> None:
         """Change the list."""
         self._versions.append((self.loop.now, hosts))
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from hyssopshelf import base, blackboard, messages, node, platform
+from hyssopshelf import base, blackboard, kvstore, messages, node
 from hyssopshelf.membership import hosts
 
 DELAY_SECONDS = (0.0005, 0.012)
@@ -87,7 +87,7 @@
         self._push(self.now + offset, self._tick, member)
         return member
 
-    def introduce(self, entries: tuple[platform.HostEntry, ...]) -> None:
+    def introduce(self, entries: tuple[kvstore.HostEntry, ...]) -> None:
         """Give all members the table of hosts, as after a completed join."""
         for member in self.members.values():
             for entry in entries:
@@ -174,10 +174,10 @@
         self.handle(member, event)
 
 
-def make_entries(count: int, places: int) -> tuple[platform.HostEntry, ...]:
+def make_entries(count: int, places: int) -> tuple[kvstore.HostEntry, ...]:
     """Return host list rows of a fleet that is spread over places."""
     return tuple(
-        platform.HostEntry(
+        kvstore.HostEntry(
             name=f"h{number:04}",
             address=f"h{number:04}:7100",
             place=f"p{number % places}",
--- a/hyssopshelf/authority/tests/test_participant.py
+++ b/hyssopshelf/authority/tests/test_participant.py
@@ -5,7 +5,7 @@
 import attrs
 import result
 
-from hyssopshelf import clocks, platform
+from hyssopshelf import clocks, kvstore
 from hyssopshelf.authority import assignments, election, member, participant, timing
 from hyssopshelf.gateway import blackboard, gateway
 
@@ -36,7 +36,7 @@
     async def change(self, expected, writes):
         self.revision += 1
         for key, value in writes.items():
-            self.entries[key] = platform.Entry(
+            self.entries[key] = kvstore.Entry(
                 key=key, value=value, revision=self.revision
             )
         return result.Ok(self.revision)
--- a/hyssopshelf/authority/tests/test_recorder.py
+++ b/hyssopshelf/authority/tests/test_recorder.py
@@ -6,7 +6,7 @@
 import attrs
 import result
 
-from hyssopshelf import platform
+from hyssopshelf import kvstore
 from hyssopshelf.authority import assignments, recorder
 
 
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         self.revision = 10
-        self.entry: platform.Entry | None = None
+        self.entry: kvstore.Entry | None = None
         self.record_revision = 7
         self.delays: list[float] = []
         self.lost_answers = 0
@@ -54,7 +54,7 @@
             return result.Err(Failure(status=412))
         self.revision += 1
         ((key, value),) = writes.items()
-        self.entry = platform.Entry(key=key, value=value, revision=self.revision)
+        self.entry = kvstore.Entry(key=key, value=value, revision=self.revision)
         return result.Ok(self.revision)
 
     @property
--- a/hyssopshelf/configuration/api.py
+++ b/hyssopshelf/configuration/api.py
@@ -5,7 +5,7 @@
 again and searched for the change id.
 """
 
-from hyssopshelf import base, exceptions, logs, messages, platform
+from hyssopshelf import base, exceptions, kvstore, logs, messages
 from hyssopshelf.configuration import (
     bills,
     declarations,
@@ -94,7 +94,7 @@
 def _read(board, operation: progress.ApiOperation, now: float) -> None:
     """Read the document from the store."""
     operation.candidate = None
-    get = platform.Get(key=documents.key_of(operation.request.pool))
+    get = kvstore.Get(key=documents.key_of(operation.request.pool))
     _call_store(board, operation, get, now)
 
 
@@ -165,7 +165,7 @@
     )
 
 
-def _commit(board, operation, entry: platform.Entry | None, now: float) -> None:
+def _commit(board, operation, entry: kvstore.Entry | None, now: float) -> None:
     """Apply the change to the stored document and write it if it is valid.
 
     A write with an unknown outcome may still reach the store. While the
@@ -210,7 +210,7 @@
         _close_refused(board, operation, ErrorKind.BAD_REQUEST, str(error))
         return
     operation.candidate = candidate
-    swap = platform.CompareAndSwap(
+    swap = kvstore.CompareAndSwap(
         key=documents.key_of(request.pool),
         value=declarations.encode_document(candidate),
         revision=operation.revision,
--- a/hyssopshelf/configuration/bills.py
+++ b/hyssopshelf/configuration/bills.py
@@ -1,6 +1,6 @@
 """Answers requests for the bill of a pool from the stored document."""
 
-from hyssopshelf import base, exceptions, platform
+from hyssopshelf import base, exceptions, kvstore
 from hyssopshelf.configuration import declarations, requests
 from hyssopshelf.scheduling import bill_writes, billing
 
@@ -14,7 +14,7 @@
     call_id = board.next_id()
     board.configuration.bill_reads[call_id] = (caller, request.pool)
     key = bill_writes.KEY_PREFIX + request.pool
-    board.act(base.CallStore(call_id=call_id, operation=platform.Get(key=key)))
+    board.act(base.CallStore(call_id=call_id, operation=kvstore.Get(key=key)))
 
 
 def take_store_answer(event: base.StoreAnswered, board, now: float) -> bool:
--- a/hyssopshelf/configuration/snapshots.py
+++ b/hyssopshelf/configuration/snapshots.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from hyssopshelf import base, exceptions, logs, messages, platform
+from hyssopshelf import base, exceptions, kvstore, logs, messages
 from hyssopshelf.configuration import (
     declarations,
     dissemination,
@@ -261,7 +261,7 @@
     snapshot.call_id = board.next_id()
     snapshot.deadline = now + STORE_TIMEOUT_SECONDS
     snapshot.store_at = now + STORE_RETRY_SECONDS * board.random.uniform(1, 2)
-    operation = platform.ListPrefix(prefix=documents.KEY_PREFIX)
+    operation = kvstore.ListPrefix(prefix=documents.KEY_PREFIX)
     board.act(base.CallStore(call_id=snapshot.call_id, operation=operation))
 
 
--- a/hyssopshelf/configuration/tests/fleet.py
+++ b/hyssopshelf/configuration/tests/fleet.py
@@ -12,7 +12,7 @@
 import attrs
 import result
 
-from hyssopshelf import base, blackboard, logs, messages, platform
+from hyssopshelf import base, blackboard, kvstore, logs, messages
 from hyssopshelf.configuration import controller
 
 TICK_SECONDS = 0.05
@@ -42,20 +42,20 @@
 
     def run(self, operation):
         """Execute an operation other than a watch."""
-        if isinstance(operation, platform.Get):
+        if isinstance(operation, kvstore.Get):
             return self.entries.get(operation.key)
-        if isinstance(operation, platform.ListPrefix):
+        if isinstance(operation, kvstore.ListPrefix):
             return tuple(self.list_after(operation.prefix, 0))
         current = self.entries.get(operation.key)
         if (current.revision if current else 0) != operation.revision:
-            return platform.Swapped(succeeded=False, current=current)
+            return kvstore.Swapped(succeeded=False, current=current)
         entry = self.put(operation.key, operation.value)
-        return platform.Swapped(succeeded=True, current=entry)
+        return kvstore.Swapped(succeeded=True, current=entry)
 
     def put(self, key, value):
         """Write a key whatever its revision."""
         self.revision += 1
-        entry = platform.Entry(key=key, value=value, revision=self.revision)
+        entry = kvstore.Entry(key=key, value=value, revision=self.revision)
         self.entries[key] = entry
         return entry
 
@@ -239,7 +239,7 @@
         operation = action.operation
         self.store.calls[type(operation).__name__] += 1
         limit = STORE_TIMEOUT_SECONDS
-        if isinstance(operation, platform.Watch):
+        if isinstance(operation, kvstore.Watch):
             limit += operation.wait_seconds
         failure = result.Err("no answer")
         self._after(limit, self._answer, member, action.call_id, failure)
@@ -263,7 +263,7 @@
         operation = action.operation
         if self.store.down:
             return
-        if isinstance(operation, platform.Watch):
+        if isinstance(operation, kvstore.Watch):
             waiting = (member, action)
             self.store.watches.append(waiting)
             self._after(operation.wait_seconds, self._end_watch, waiting)
@@ -271,7 +271,7 @@
             return
         outcome = result.Ok(self.store.run(operation))
         self._notify()
-        if self.store.lost_answers and isinstance(operation, platform.CompareAndSwap):
+        if self.store.lost_answers and isinstance(operation, kvstore.CompareAndSwap):
             self.store.lost_answers -= 1
             return
         self._reply(member, action.call_id, outcome)
@@ -296,7 +296,7 @@
         operation = action.operation
         found = self.store.list_after(operation.prefix, operation.after_revision)
         outcome = result.Ok(
-            platform.Changes(entries=tuple(found), revision=self.store.revision)
+            kvstore.Changes(entries=tuple(found), revision=self.store.revision)
         )
         self._reply(member, action.call_id, outcome)
 
--- a/hyssopshelf/configuration/watching.py
+++ b/hyssopshelf/configuration/watching.py
@@ -7,7 +7,7 @@
 
 import result
 
-from hyssopshelf import base, exceptions, logs, platform
+from hyssopshelf import base, exceptions, kvstore, logs
 from hyssopshelf.configuration import (
     declarations,
     dissemination,
@@ -107,11 +107,11 @@
     watch.call_id = board.next_id()
     if watch.revision is None:
         watch.deadline = now + ANSWER_MARGIN_SECONDS
-        operation = platform.ListPrefix(prefix=documents.KEY_PREFIX)
+        operation = kvstore.ListPrefix(prefix=documents.KEY_PREFIX)
     else:
         wait_seconds = WAIT_SECONDS * board.random.uniform(0.7, 1)
         watch.deadline = now + wait_seconds + ANSWER_MARGIN_SECONDS
-        operation = platform.Watch(
+        operation = kvstore.Watch(
             prefix=documents.KEY_PREFIX,
             after_revision=watch.revision,
             wait_seconds=wait_seconds,
@@ -135,7 +135,7 @@
     watch.retry_seconds = 0.0
     watch.next_at = now
     answer = event.result.unwrap()
-    if isinstance(answer, platform.Changes):
+    if isinstance(answer, kvstore.Changes):
         _apply_entries(board, answer.entries, now)
         # A revision below the one already read means that the store lost data;
         # all documents are then read again.
@@ -210,7 +210,7 @@
         call_id = board.next_id()
         watch.repair_calls[call_id] = pool
         document: resources.Document = board.documents[pool]
-        operation = platform.CompareAndSwap(
+        operation = kvstore.CompareAndSwap(
             key=documents.key_of(pool),
             value=declarations.encode_document(document),
             revision=repair.revision,
--- a/hyssopshelf/demo.py
+++ b/hyssopshelf/demo.py
@@ -9,7 +9,7 @@
 import tornado.httpserver
 import tornado.netutil
 
-from hyssopshelf import blackboard, client, exceptions, logs, node, platform
+from hyssopshelf import blackboard, client, exceptions, kvstore, logs, node
 from hyssopshelf.configuration import requests, resources
 from hyssopshelf.runtime import engine as engines
 from hyssopshelf.runtime import hostlist as hostlist_adapter
@@ -124,7 +124,7 @@
             host=host, address=peer, place=place, region=place, incarnation=1
         )
         hosts.add(
-            platform.HostEntry(name=host, address=peer, place=place, region=place), 0.0
+            kvstore.HostEntry(name=host, address=peer, place=place, region=place), 0.0
         )
         engine = engines.Engine(
             core=node.Node(identity=identity, seed=number, token_keys=keys),
--- a/hyssopshelf/failover/leases.py
+++ b/hyssopshelf/failover/leases.py
@@ -11,7 +11,7 @@
 import attrs
 from result import Ok
 
-from hyssopshelf import base, exceptions, logs, messages, platform
+from hyssopshelf import base, exceptions, kvstore, logs, messages
 
 REQUEST_LEAD_SECONDS = 0.6
 """Time before the earliest promotion at which its lease is requested."""
@@ -88,7 +88,7 @@
         board,
         "grant",
         database,
-        platform.GrantLease(time_to_live_seconds=LEASE_SECONDS),
+        kvstore.GrantLease(time_to_live_seconds=LEASE_SECONDS),
     )
 
 
@@ -106,7 +106,7 @@
     lease = board.failover.lease_state.leases.pop(database, None)
     if lease is not None and lease.lease_id:
         _call_store(
-            board, "revoke", database, platform.RevokeLease(lease=lease.lease_id)
+            board, "revoke", database, kvstore.RevokeLease(lease=lease.lease_id)
         )
 
 
@@ -123,7 +123,7 @@
     for database, pending in list(board.failover.lease_state.pending_records.items()):
         if now >= pending.next_at:
             pending.next_at = now + RETRY_SECONDS
-            _call_store(board, "read", database, platform.Get(key=_get_key(database)))
+            _call_store(board, "read", database, kvstore.Get(key=_get_key(database)))
 
 
 def receive_store(board, call_id: str, result, now: float) -> bool:
@@ -151,14 +151,14 @@
 def _claim_promotion(board, database: str, lease_id: int) -> None:
     lease = board.failover.lease_state.leases.get(database)
     if lease is None:
-        _call_store(board, "revoke", database, platform.RevokeLease(lease=lease_id))
+        _call_store(board, "revoke", database, kvstore.RevokeLease(lease=lease_id))
         return
     lease.lease_id = lease_id
     _call_store(
         board,
         "claim",
         database,
-        platform.CompareAndSwap(
+        kvstore.CompareAndSwap(
             key=f"promotion/{database}",
             value=board.identity.host.encode(),
             revision=0,
@@ -167,7 +167,7 @@
     )
 
 
-def _handle_claim(board, database: str, swapped: platform.Swapped, now: float) -> None:
+def _handle_claim(board, database: str, swapped: kvstore.Swapped, now: float) -> None:
     lease = board.failover.lease_state.leases.get(database)
     if lease is None or swapped.succeeded or swapped.current is None:
         return
@@ -180,7 +180,7 @@
         )
 
 
-def _write_record(board, database: str, entry: platform.Entry | None) -> None:
+def _write_record(board, database: str, entry: kvstore.Entry | None) -> None:
     pending = board.failover.lease_state.pending_records.get(database)
     if pending is None:
         return
@@ -191,7 +191,7 @@
         board,
         "write",
         database,
-        platform.CompareAndSwap(
+        kvstore.CompareAndSwap(
             key=_get_key(database),
             value=encode_record(
                 PrimaryRecord(term=pending.term, primary=pending.primary)
@@ -201,7 +201,7 @@
     )
 
 
-def _remove_written_record(board, database: str, entry: platform.Entry) -> None:
+def _remove_written_record(board, database: str, entry: kvstore.Entry) -> None:
     pending = board.failover.lease_state.pending_records.get(database)
     if pending is not None and _read_term(entry) >= pending.term:
         del board.failover.lease_state.pending_records[database]
@@ -212,7 +212,7 @@
     return json.dumps(messages.unstructure(record)).encode()
 
 
-def _read_term(entry: platform.Entry) -> int:
+def _read_term(entry: kvstore.Entry) -> int:
     """Return the term of a stored record, 0 if the record is damaged."""
     try:
         return messages.structure(json.loads(entry.value), PrimaryRecord).term
--- a/hyssopshelf/failover/tests/test_leases.py
+++ b/hyssopshelf/failover/tests/test_leases.py
@@ -3,7 +3,7 @@
 import pytest
 from result import Err, Ok
 
-from hyssopshelf import base, platform
+from hyssopshelf import base, kvstore
 from hyssopshelf.failover import leases
 from hyssopshelf.failover.tests import simulated_group
 
@@ -22,8 +22,8 @@
 def claim_promotion(board, holder, now):
     leases.request_lease(board, simulated_group.DATABASE, now)
     leases.receive_store(board, take_call(board).call_id, Ok(7), now)
-    entry = platform.Entry(key="k", value=holder, revision=1)
-    swapped = platform.Swapped(succeeded=holder == b"h0", current=entry)
+    entry = kvstore.Entry(key="k", value=holder, revision=1)
+    swapped = kvstore.Swapped(succeeded=holder == b"h0", current=entry)
     leases.receive_store(board, take_call(board).call_id, Ok(swapped), now)
 
 
@@ -51,10 +51,10 @@
     leases.step(board, 1.0 + leases.RETRY_SECONDS)
     leases.receive_store(board, take_call(board).call_id, Ok(None), 6.0)
     write = take_call(board).operation
-    assert isinstance(write, platform.CompareAndSwap) and write.revision == 0
+    assert isinstance(write, kvstore.CompareAndSwap) and write.revision == 0
     newer = leases.encode_record(leases.PrimaryRecord(term=4, primary="p/d/b"))
     leases.step(board, 1.0 + 2 * leases.RETRY_SECONDS)
-    entry = platform.Entry(key=write.key, value=newer, revision=9)
+    entry = kvstore.Entry(key=write.key, value=newer, revision=9)
     leases.receive_store(board, take_call(board).call_id, Ok(entry), 11.0)
     assert take_call(board) is None
     assert simulated_group.DATABASE not in board.failover.lease_state.pending_records
--- a/hyssopshelf/platform.py
+++ b/hyssopshelf/kvstore.py
@@ -1,4 +1,8 @@
-"""Typed operations and results of the platform's key-value store and host list."""
+"""Typed operations and results of the key-value store, and rows of the host list.
+
+The platform provides both services. Their clients and the local servers that stand in
+for them exchange these values with the rest of the package.
+"""
 
 import attrs
 
@@ -102,7 +106,7 @@
 
 @attrs.frozen(kw_only=True)
 class HostEntry:
-    """A row of the platform's host list."""
+    """Row of the platform's host list: one host with its address and location."""
 
     name: str
     address: str
--- a/hyssopshelf/membership/tests/test_hosts.py
+++ b/hyssopshelf/membership/tests/test_hosts.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from benchmarks import fleet as fleets
-from hyssopshelf import base, logs, messages, platform
+from hyssopshelf import base, kvstore, logs, messages
 from hyssopshelf.membership import gossip, hosts, protocol, records, transitions
 
 DETECTION_SECONDS = 12.0
@@ -83,7 +83,7 @@
     fleet = start_fleet()
     entries = fleets.make_entries(8, 1)
     marked = tuple(
-        platform.HostEntry(
+        kvstore.HostEntry(
             name=entry.name,
             address=entry.address,
             place=entry.place,
@@ -211,7 +211,7 @@
 
 
 def make_entry(name):
-    return platform.HostEntry(name=name, address=f"{name}:1", place="p0", region="r0")
+    return kvstore.HostEntry(name=name, address=f"{name}:1", place="p0", region="r0")
 
 
 def test_three_hosts_read_a_key():
--- a/hyssopshelf/runtime/hostlist.py
+++ b/hyssopshelf/runtime/hostlist.py
@@ -6,7 +6,7 @@
 import result
 import tornado.httpclient
 
-from hyssopshelf import exceptions, messages, platform
+from hyssopshelf import exceptions, kvstore, messages
 
 READ_TIMEOUT_SECONDS = 2.0
 """Timeout of a read, in seconds; the next read follows within seconds."""
@@ -30,7 +30,7 @@
         default=None, init=False
     )
 
-    async def read(self) -> result.Result[tuple[platform.HostEntry, ...], str]:
+    async def read(self) -> result.Result[tuple[kvstore.HostEntry, ...], str]:
         """Read the host list.
 
         Returns
@@ -49,7 +49,7 @@
                 request_timeout=self.timeout_seconds,
             )
             rows = json.loads(response.body)["hosts"]
-            hosts = messages.structure(rows, tuple[platform.HostEntry, ...])
+            hosts = messages.structure(rows, tuple[kvstore.HostEntry, ...])
         except (tornado.httpclient.HTTPError, OSError) as error:
             return result.Err(f"cannot read the host list: {error}")
         except (ValueError, KeyError, TypeError, exceptions.CodecError) as error:
--- a/hyssopshelf/runtime/store.py
+++ b/hyssopshelf/runtime/store.py
@@ -20,7 +20,7 @@
 import tornado.iostream
 import tornado.tcpclient
 
-from hyssopshelf import platform
+from hyssopshelf import kvstore
 
 CALL_TIMEOUT_SECONDS = 2.0
 """Timeout of a call, in seconds, after which its outcome is unknown; a healthy store
@@ -49,7 +49,7 @@
 
 @attrs.define(kw_only=True)
 class StoreAdapter:
-    """Runs the operations of ``platform`` at the store.
+    """Runs the operations of ``kvstore`` at the store.
 
     Parameters
     ----------
@@ -72,7 +72,7 @@
         Returns
         -------
         Ok(object)
-            The result that ``platform`` documents for the operation.
+            The result that ``kvstore`` documents for the operation.
         Err(str)
             The outcome is unknown: a change may have been applied.
         """
@@ -98,7 +98,7 @@
         )
         return json.loads(response.body)
 
-    async def watch(self, operation: platform.Watch) -> platform.Changes:
+    async def watch(self, operation: kvstore.Watch) -> kvstore.Changes:
         """Wait for changes on a separate connection.
 
         Returns
@@ -156,12 +156,12 @@
     return {"key": _encode(data or b"\0"), "range_end": _encode(_get_prefix_end(data))}
 
 
-def _read_entries(body: dict) -> tuple[platform.Entry, ...]:
+def _read_entries(body: dict) -> tuple[kvstore.Entry, ...]:
     return tuple(_read_entry(item) for item in body.get("kvs", []))
 
 
-def _read_entry(item: dict) -> platform.Entry:
-    return platform.Entry(
+def _read_entry(item: dict) -> kvstore.Entry:
+    return kvstore.Entry(
         key=base64.b64decode(item["key"]).decode(),
         value=base64.b64decode(item.get("value", "")),
         revision=int(item["mod_revision"]),
@@ -178,21 +178,21 @@
 
 
 @_perform.register
-async def _(operation: platform.Get, adapter: StoreAdapter):
+async def _(operation: kvstore.Get, adapter: StoreAdapter):
     body = {"key": _encode(operation.key.encode())}
     entries = _read_entries(await adapter.post("/v3/kv/range", body))
     return entries[0] if entries else None
 
 
 @_perform.register
-async def _(operation: platform.ListPrefix, adapter: StoreAdapter):
+async def _(operation: kvstore.ListPrefix, adapter: StoreAdapter):
     return _read_entries(
         await adapter.post("/v3/kv/range", _make_range(operation.prefix))
     )
 
 
 @_perform.register
-async def _(operation: platform.CompareAndSwap, adapter: StoreAdapter):
+async def _(operation: kvstore.CompareAndSwap, adapter: StoreAdapter):
     key = _encode(operation.key.encode())
     put = {"key": key, "value": _encode(operation.value)}
     if operation.lease:
@@ -212,16 +212,16 @@
         },
     )
     if answer.get("succeeded", False):
-        current = platform.Entry(
+        current = kvstore.Entry(
             key=operation.key, value=operation.value, revision=_read_revision(answer)
         )
-        return platform.Swapped(succeeded=True, current=current)
+        return kvstore.Swapped(succeeded=True, current=current)
     entries = _read_entries(answer["responses"][0].get("response_range", {}))
-    return platform.Swapped(succeeded=False, current=entries[0] if entries else None)
+    return kvstore.Swapped(succeeded=False, current=entries[0] if entries else None)
 
 
 @_perform.register
-async def _(operation: platform.GrantLease, adapter: StoreAdapter):
+async def _(operation: kvstore.GrantLease, adapter: StoreAdapter):
     # The protocol has whole seconds only. Rounding up keeps the lease at least as
     # long as its holder requested.
     seconds = max(1, math.ceil(operation.time_to_live_seconds))
@@ -230,7 +230,7 @@
 
 
 @_perform.register
-async def _(operation: platform.RevokeLease, adapter: StoreAdapter):
+async def _(operation: kvstore.RevokeLease, adapter: StoreAdapter):
     try:
         await adapter.post("/v3/lease/revoke", {"ID": str(operation.lease)})
     except tornado.httpclient.HTTPClientError as error:
@@ -240,7 +240,7 @@
 
 
 @_perform.register
-async def _(operation: platform.Watch, adapter: StoreAdapter):
+async def _(operation: kvstore.Watch, adapter: StoreAdapter):
     changes = await adapter.watch(operation)
     if changes is not None:
         return changes
@@ -252,7 +252,7 @@
         for entry in _read_entries(answer)
         if entry.revision > operation.after_revision
     )
-    return platform.Changes(entries=entries, revision=_read_revision(answer))
+    return kvstore.Changes(entries=entries, revision=_read_revision(answer))
 
 
 @attrs.define
@@ -281,9 +281,7 @@
         self.lines.put_nowait(None)
 
 
-async def _watch_changes(
-    url: str, operation: platform.Watch
-) -> platform.Changes | None:
+async def _watch_changes(url: str, operation: kvstore.Watch) -> kvstore.Changes | None:
     """Open a watch and return its first changes, None if history was compacted."""
     parts = urllib.parse.urlsplit(url)
     client = tornado.tcpclient.TCPClient()
@@ -309,8 +307,8 @@
 
 
 async def _await_changes(
-    lines: asyncio.Queue, operation: platform.Watch
-) -> platform.Changes | None:
+    lines: asyncio.Queue, operation: kvstore.Watch
+) -> kvstore.Changes | None:
     revision = operation.after_revision
     loop = asyncio.get_running_loop()
     deadline = loop.time() + operation.wait_seconds
@@ -318,7 +316,7 @@
         try:
             line = await asyncio.wait_for(lines.get(), deadline - loop.time())
         except TimeoutError:
-            return platform.Changes(entries=(), revision=revision)
+            return kvstore.Changes(entries=(), revision=revision)
         if line is None:
             raise tornado.iostream.StreamClosedError(
                 real_error=OSError("the store closed the watch")
@@ -330,10 +328,10 @@
         # A store that was restored from an older backup has a lower revision; the
         # caller gets it at once and reads all entries again.
         if revision < operation.after_revision or "events" in body:
-            return platform.Changes(entries=_read_events(body), revision=revision)
+            return kvstore.Changes(entries=_read_events(body), revision=revision)
 
 
-def _read_events(body: dict) -> tuple[platform.Entry, ...]:
+def _read_events(body: dict) -> tuple[kvstore.Entry, ...]:
     """Return the written entries; a deletion only advances the revision."""
     return tuple(
         _read_entry(event["kv"])
--- a/hyssopshelf/runtime/tests/test_hostlist.py
+++ b/hyssopshelf/runtime/tests/test_hostlist.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from hyssopshelf import platform
+from hyssopshelf import kvstore
 from hyssopshelf.runtime import hostlist as adapters
 from hyssopshelf.standins import hostlist as standins
 
-HOST = platform.HostEntry(name="h1", address="127.0.0.1:1", place="p1", region="r1")
+HOST = kvstore.HostEntry(name="h1", address="127.0.0.1:1", place="p1", region="r1")
 
 
 def run(scenario):
--- a/hyssopshelf/runtime/tests/test_store.py
+++ b/hyssopshelf/runtime/tests/test_store.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from hyssopshelf import platform
+from hyssopshelf import kvstore
 from hyssopshelf.runtime import store as adapters
 from hyssopshelf.standins import keyvalue
 from hyssopshelf.standins import store as standins
@@ -30,11 +30,11 @@
 
 
 def make_swap(key, value, revision=0, lease=0):
-    return platform.CompareAndSwap(key=key, value=value, revision=revision, lease=lease)
+    return kvstore.CompareAndSwap(key=key, value=value, revision=revision, lease=lease)
 
 
 def make_watch(after_revision, wait_seconds=5.0, prefix="a/"):
-    return platform.Watch(
+    return kvstore.Watch(
         prefix=prefix, after_revision=after_revision, wait_seconds=wait_seconds
     )
 
@@ -49,11 +49,11 @@
         assert (conflict.succeeded, conflict.current) == (False, first.current)
         again = await adapter.call(make_swap("a/1", b"z", first.current.revision))
         assert again.unwrap().succeeded
-        entry = (await adapter.call(platform.Get(key="a/1"))).unwrap()
+        entry = (await adapter.call(kvstore.Get(key="a/1"))).unwrap()
         assert entry == again.unwrap().current
         missing = (await adapter.call(make_swap("none", b"y", 7))).unwrap()
         assert (missing.succeeded, missing.current) == (False, None)
-        assert (await adapter.call(platform.Get(key="none"))).unwrap() is None
+        assert (await adapter.call(kvstore.Get(key="none"))).unwrap() is None
 
     run(scenario)
 
@@ -64,9 +64,9 @@
     async def scenario(server, adapter):
         for key in ("a", "a/1", "a/~", "a0", "b"):
             await adapter.call(make_swap(key, b"x"))
-        listed = (await adapter.call(platform.ListPrefix(prefix="a/"))).unwrap()
+        listed = (await adapter.call(kvstore.ListPrefix(prefix="a/"))).unwrap()
         assert [entry.key for entry in listed] == ["a/1", "a/~"]
-        all_entries = (await adapter.call(platform.ListPrefix(prefix=""))).unwrap()
+        all_entries = (await adapter.call(kvstore.ListPrefix(prefix=""))).unwrap()
         assert len(all_entries) == 5
 
     run(scenario)
@@ -138,14 +138,14 @@
     """Guards against a lock that outlives its holder."""
 
     async def scenario(server, adapter):
-        grant = platform.GrantLease(time_to_live_seconds=0.2)
+        grant = kvstore.GrantLease(time_to_live_seconds=0.2)
         lease = (await adapter.call(grant)).unwrap()
         await adapter.call(make_swap("a/lock", b"h1", lease=lease))
-        assert (await adapter.call(platform.Get(key="a/lock"))).unwrap() is not None
+        assert (await adapter.call(kvstore.Get(key="a/lock"))).unwrap() is not None
         await asyncio.sleep(1.2)
-        assert (await adapter.call(platform.Get(key="a/lock"))).unwrap() is None
+        assert (await adapter.call(kvstore.Get(key="a/lock"))).unwrap() is None
         # Revoking an expired lease succeeds, while a put with it fails.
-        assert (await adapter.call(platform.RevokeLease(lease=lease))).is_ok()
+        assert (await adapter.call(kvstore.RevokeLease(lease=lease))).is_ok()
         assert (await adapter.call(make_swap("a/lock", b"h1", lease=lease))).is_err()
 
     run(scenario)
@@ -155,11 +155,11 @@
     """Guards against a lock that remains after its holder released it."""
 
     async def scenario(server, adapter):
-        grant = platform.GrantLease(time_to_live_seconds=60)
+        grant = kvstore.GrantLease(time_to_live_seconds=60)
         lease = (await adapter.call(grant)).unwrap()
         await adapter.call(make_swap("a/lock", b"h1", lease=lease))
-        assert (await adapter.call(platform.RevokeLease(lease=lease))).is_ok()
-        assert (await adapter.call(platform.Get(key="a/lock"))).unwrap() is None
+        assert (await adapter.call(kvstore.RevokeLease(lease=lease))).is_ok()
+        assert (await adapter.call(kvstore.Get(key="a/lock"))).unwrap() is None
 
     run(scenario)
 
@@ -170,7 +170,7 @@
     async def scenario(server, adapter):
         server.set_faults(lost_answers=1)
         assert (await adapter.call(make_swap("a/1", b"x"))).is_err()
-        entry = (await adapter.call(platform.Get(key="a/1"))).unwrap()
+        entry = (await adapter.call(kvstore.Get(key="a/1"))).unwrap()
         assert entry.value == b"x"
 
     run(scenario)
@@ -184,8 +184,8 @@
         server.set_faults(**fault)
         operations = [
             make_swap("a/1", b"x"),
-            platform.Get(key="a/1"),
-            platform.GrantLease(time_to_live_seconds=1),
+            kvstore.Get(key="a/1"),
+            kvstore.GrantLease(time_to_live_seconds=1),
             make_watch(1, wait_seconds=0.2),
         ]
         started = time.monotonic()
@@ -193,7 +193,7 @@
         assert all(result.is_err() for result in results[:3])
         assert time.monotonic() - started < 2.0
         server.set_faults(down=False, delay_seconds=0.0)
-        assert (await adapter.call(platform.Get(key="none"))).is_ok()
+        assert (await adapter.call(kvstore.Get(key="none"))).is_ok()
 
     run(scenario)
 
@@ -231,8 +231,8 @@
         state = await adapter.post("/control/faults", {"restore": "old"})
         assert (state["revision"], state["calls"]) == (1, {"txn": 1})
         await adapter.post("/control/faults", {"faults": {"down": True}})
-        assert (await adapter.call(platform.Get(key="a/1"))).is_err()
+        assert (await adapter.call(kvstore.Get(key="a/1"))).is_err()
         state = await adapter.post("/control/faults", {"faults": {"down": False}})
-        assert (await adapter.call(platform.Get(key="a/1"))).unwrap() is None
+        assert (await adapter.call(kvstore.Get(key="a/1"))).unwrap() is None
 
     run(scenario)
--- a/hyssopshelf/scheduling/bill_writes.py
+++ b/hyssopshelf/scheduling/bill_writes.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from hyssopshelf import base, exceptions, logs, platform
+from hyssopshelf import base, exceptions, kvstore, logs
 from hyssopshelf.scheduling import accounts
 
 KEY_PREFIX = "billing/"
@@ -68,7 +68,7 @@
     key = KEY_PREFIX + pool
     if state.revision is None:
         state.is_write = False
-        _call(board, state, platform.Get(key=key), now)
+        _call(board, state, kvstore.Get(key=key), now)
         return
     draft = pool_accounts.draft(
         pool, _find_ended(board, state, pool, now), set(board.hosts)
@@ -78,7 +78,7 @@
         return
     state.is_write = True
     state.written = draft
-    operation = platform.CompareAndSwap(
+    operation = kvstore.CompareAndSwap(
         key=key, value=accounts.encode_bill(draft), revision=state.revision
     )
     _call(board, state, operation, now)
@@ -123,7 +123,7 @@
     state.next_at = now + (RETRY_SECONDS if state.is_write else 0.0)
 
 
-def _decode(entry: platform.Entry | None, pool: str) -> accounts.Bill:
+def _decode(entry: kvstore.Entry | None, pool: str) -> accounts.Bill:
     if entry is None:
         return accounts.Bill(pool=pool)
     return accounts.decode_bill(entry.value)
--- a/hyssopshelf/scheduling/tests/test_billing.py
+++ b/hyssopshelf/scheduling/tests/test_billing.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hyssopshelf import base, platform
+from hyssopshelf import base, kvstore
 from hyssopshelf.scheduling import accounts, bill_writes, billing
 from hyssopshelf.scheduling.tests import test_shares
 
@@ -24,16 +24,16 @@
     def call(self, operation):
         self.calls += 1
         current = self.entries.get(operation.key)
-        if isinstance(operation, platform.Get):
+        if isinstance(operation, kvstore.Get):
             return current
         revision = current.revision if current is not None else 0
         if revision != operation.revision:
-            return platform.Swapped(succeeded=False, current=current)
-        entry = platform.Entry(
+            return kvstore.Swapped(succeeded=False, current=current)
+        entry = kvstore.Entry(
             key=operation.key, value=operation.value, revision=revision + 1
         )
         self.entries[operation.key] = entry
-        return platform.Swapped(succeeded=True, current=entry)
+        return kvstore.Swapped(succeeded=True, current=entry)
 
     def bill(self):
         entry = self.entries.get("billing/p")
@@ -196,7 +196,7 @@
 def test_unreadable_document_is_not_overwritten():
     """Guards against losing a bill by overwriting a damaged document."""
     fleet = Fleet()
-    entry = platform.Entry(key="billing/p", value=b"{", revision=4)
+    entry = kvstore.Entry(key="billing/p", value=b"{", revision=4)
     fleet.store.entries["billing/p"] = entry
     fleet.run(90, served_by=("h1",))
     assert fleet.store.entries["billing/p"] is entry
--- a/hyssopshelf/standins/hostlist.py
+++ b/hyssopshelf/standins/hostlist.py
@@ -10,7 +10,7 @@
 import tornado.netutil
 import tornado.web
 
-from hyssopshelf import messages, platform
+from hyssopshelf import kvstore, messages
 
 
 @attrs.define(kw_only=True)
@@ -30,10 +30,10 @@
     lag_seconds: float = 0.0
     down: bool = False
     calls: int = 0
-    _hosts: dict[str, platform.HostEntry] = attrs.field(factory=dict, init=False)
+    _hosts: dict[str, kvstore.HostEntry] = attrs.field(factory=dict, init=False)
     _past_lists: collections.deque = attrs.field(factory=collections.deque, init=False)
 
-    def add(self, entry: platform.HostEntry, now: float) -> None:
+    def add(self, entry: kvstore.HostEntry, now: float) -> None:
         """Add a host or replace its entry."""
         self._hosts[entry.name] = entry
         self._past_lists.append((now, tuple(self._hosts.values())))
@@ -47,7 +47,7 @@
         """Mark a host as leaving."""
         self.add(attrs.evolve(self._hosts[name], leaving=True), now)
 
-    def read(self, now: float) -> tuple[platform.HostEntry, ...]:
+    def read(self, now: float) -> tuple[kvstore.HostEntry, ...]:
         """Return the hosts as they were ``lag_seconds`` ago."""
         self.calls += 1
         visible_at = now - self.lag_seconds
@@ -79,7 +79,7 @@
         """Add, remove or mark hosts, and set ``lag_seconds`` or ``down``."""
         body, now = json.loads(self.request.body), self.clock()
         for entry in body.get("add", []):
-            self.hosts.add(messages.structure(entry, platform.HostEntry), now)
+            self.hosts.add(messages.structure(entry, kvstore.HostEntry), now)
         for name in body.get("remove", []):
             self.hosts.remove(name, now)
         for name in body.get("leaving", []):
--- a/hyssopshelf/standins/keyvalue.py
+++ b/hyssopshelf/standins/keyvalue.py
@@ -11,7 +11,7 @@
 import attrs
 import result
 
-from hyssopshelf import exceptions, platform
+from hyssopshelf import exceptions, kvstore
 
 MAXIMUM_VALUE_BYTES = 1_000_000
 """Largest value that the store accepts, in bytes."""
@@ -268,64 +268,64 @@
             self.compact_revision = self._history.popleft().revision
 
 
-def _make_entry(record: Record | None) -> platform.Entry | None:
+def _make_entry(record: Record | None) -> kvstore.Entry | None:
     if record is None:
         return None
-    return platform.Entry(
+    return kvstore.Entry(
         key=record.key.decode(), value=record.value, revision=record.mod_revision
     )
 
 
 @functools.singledispatch
 def perform(operation, store: KeyValueStore, now: float):
-    """Run an operation of ``platform`` without faults and return its result."""
+    """Run an operation of ``kvstore`` without faults and return its result."""
     raise NotImplementedError(f"unknown operation {type(operation).__name__}")
 
 
 @perform.register
-def _(operation: platform.Get, store: KeyValueStore, now: float):
+def _(operation: kvstore.Get, store: KeyValueStore, now: float):
     records = store.read(operation.key.encode())
     return _make_entry(records[0]) if records else None
 
 
 @perform.register
-def _(operation: platform.ListPrefix, store: KeyValueStore, now: float):
+def _(operation: kvstore.ListPrefix, store: KeyValueStore, now: float):
     prefix = operation.prefix.encode()
     return tuple(map(_make_entry, store.read(prefix, get_prefix_end(prefix))))
 
 
 @perform.register
-def _(operation: platform.CompareAndSwap, store: KeyValueStore, now: float):
+def _(operation: kvstore.CompareAndSwap, store: KeyValueStore, now: float):
     key = operation.key.encode()
     succeeded = store.get_mod_revision(key) == operation.revision
     if succeeded:
         store.put(key, operation.value, operation.lease)
     records = store.read(key)
     current = _make_entry(records[0]) if records else None
-    return platform.Swapped(succeeded=succeeded, current=current)
+    return kvstore.Swapped(succeeded=succeeded, current=current)
 
 
 @perform.register
-def _(operation: platform.GrantLease, store: KeyValueStore, now: float):
+def _(operation: kvstore.GrantLease, store: KeyValueStore, now: float):
     return store.grant_lease(operation.time_to_live_seconds, now)
 
 
 @perform.register
-def _(operation: platform.RevokeLease, store: KeyValueStore, now: float):
+def _(operation: kvstore.RevokeLease, store: KeyValueStore, now: float):
     store.revoke_lease(operation.lease)
 
 
 @perform.register
-def _(operation: platform.Watch, store: KeyValueStore, now: float):
+def _(operation: kvstore.Watch, store: KeyValueStore, now: float):
     prefix = operation.prefix.encode()
     changes = store.list_changes(
         prefix, get_prefix_end(prefix), operation.after_revision + 1
     )
     entries = tuple(_make_entry(change.record) for change in changes if change.record)
-    return platform.Changes(entries=entries, revision=store.revision)
+    return kvstore.Changes(entries=entries, revision=store.revision)
 
 
-WRITES = (platform.CompareAndSwap, platform.GrantLease, platform.RevokeLease)
+WRITES = (kvstore.CompareAndSwap, kvstore.GrantLease, kvstore.RevokeLease)
 
 
 def call(store: KeyValueStore, operation, now: float) -> result.Result:
--- a/hyssopshelf/standins/tests/test_keyvalue.py
+++ b/hyssopshelf/standins/tests/test_keyvalue.py
@@ -5,7 +5,7 @@
 from hypothesis import stateful
 from hypothesis import strategies as st
 
-from hyssopshelf import platform
+from hyssopshelf import kvstore
 from hyssopshelf.standins import keyvalue
 
 KEYS = st.sampled_from(["a/1", "a/2", "b/1"])
@@ -37,7 +37,7 @@
     def swap(self, key, value, offset):
         expected = self.model.get(key, (b"", 0, 0))[1]
         lease = max(self.leases, default=0) if value[:1] > b"\x80" else 0
-        operation = platform.CompareAndSwap(
+        operation = kvstore.CompareAndSwap(
             key=key, value=value, revision=expected + offset, lease=lease
         )
         before = self.store.revision
@@ -51,20 +51,20 @@
     def swap_with_lost_answer(self, key, value):
         self.store.faults.lost_answers = 1
         revision = self.model.get(key, (b"", 0, 0))[1]
-        operation = platform.CompareAndSwap(key=key, value=value, revision=revision)
+        operation = kvstore.CompareAndSwap(key=key, value=value, revision=revision)
         assert self.call(operation).is_err()
         self.model[key] = (value, self.store.revision, 0)
 
     @stateful.rule(key=KEYS, value=st.binary(max_size=3))
     def swap_while_down(self, key, value):
         self.store.faults.down = True
-        operation = platform.CompareAndSwap(key=key, value=value, revision=0)
+        operation = kvstore.CompareAndSwap(key=key, value=value, revision=0)
         assert self.call(operation).is_err()
         self.store.faults.down = False
 
     @stateful.rule(seconds=st.integers(1, 5))
     def grant(self, seconds):
-        lease = self.call(platform.GrantLease(time_to_live_seconds=seconds)).unwrap()
+        lease = self.call(kvstore.GrantLease(time_to_live_seconds=seconds)).unwrap()
         assert lease not in self.leases
         self.leases[lease] = self.now + seconds
 
@@ -72,7 +72,7 @@
     @stateful.rule()
     def revoke(self):
         lease = min(self.leases)
-        assert self.call(platform.RevokeLease(lease=lease)).is_ok()
+        assert self.call(kvstore.RevokeLease(lease=lease)).is_ok()
         self.end_leases({lease})
 
     @stateful.rule(seconds=st.integers(1, 3))
@@ -86,7 +86,7 @@
     @stateful.invariant()
     def reads_match_the_model(self):
         """Guards against lost writes and against keys that outlive their lease."""
-        listed = self.call(platform.ListPrefix(prefix="")).unwrap()
+        listed = self.call(kvstore.ListPrefix(prefix="")).unwrap()
         assert {entry.key: (entry.value, entry.revision) for entry in listed} == {
             key: record[:2] for key, record in self.model.items()
         }
@@ -95,7 +95,7 @@
     def watch_finds_each_change_once(self):
         """Guards against a watch that skips or repeats changes."""
         after = max(self.seen, default=1)
-        watch = platform.Watch(prefix="", after_revision=after, wait_seconds=0)
+        watch = kvstore.Watch(prefix="", after_revision=after, wait_seconds=0)
         for entry in self.call(watch).unwrap().entries:
             assert entry.revision not in self.seen
             self.seen[entry.revision] = entry
