--- a/hyssopshelf/scheduling/billing.py
+++ b/hyssopshelf/scheduling/billing.py
@@ -251,13 +251,13 @@
     """
     state = board.bills
     own, place = board.identity.host, board.identity.place
-    seeds = [(rendezvous.hash_text(own), own)]
+    candidates = [(rendezvous.hash_text(own), own)]
     near, far = [], []
     for name, row in board.hosts.items():
         if name == own or row.state not in _LIVE:
             continue
         item = (rendezvous.hash_text(name), name)
-        seeds.append(item)
+        candidates.append(item)
         (near if row.place == place else far).append(item)
     key = rendezvous.hash_text(f"keepers/{own}")
     backup_hosts = rendezvous.rank(key, far, BACKUP_HOSTS)
@@ -267,7 +267,7 @@
     for key in [key for key in state.copied if key[0] not in state.backup_hosts]:
         del state.copied[key]
     state.writers = {
-        pool: rendezvous.rank(rendezvous.hash_text(pool), seeds, 1)[0]
+        pool: rendezvous.rank(rendezvous.hash_text(pool), candidates, 1)[0]
         for pool in state.pools
     }
 
